--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -195,7 +195,7 @@
     let leaving = registration.state == InstanceState::Leaving;
     let mut engine = shared.engine();
     if leaving {
-        engine.leave(&registration.id);
+        engine.mark_leaving(&registration.id);
     }
     let news = engine.register(registration, now);
     drop(engine);
--- a/crates/coordinator/src/lead.rs
+++ b/crates/coordinator/src/lead.rs
@@ -116,7 +116,7 @@
 /// Until the next tick, or until an adapter becomes ready.
 fn pause(shared: &Shared) -> Duration {
     let now = shared.clock.now();
-    let next = shared.engine().next_ready();
+    let next = shared.engine().next_adapter_ready();
     let until = next.map(|at| Duration::from(at.since(now)) + Duration::from_millis(1));
     until.map_or(TICK, |until| until.min(TICK))
 }
@@ -259,8 +259,8 @@
     let mut engine = shared.engine();
     for one in leaving.into_iter().flatten() {
         match one.ended {
-            true => engine.depart(&one.instance, now),
-            false => engine.leave(&one.instance),
+            true => engine.mark_terminated(&one.instance, now),
+            false => engine.mark_leaving(&one.instance),
         }
     }
 }
@@ -328,12 +328,12 @@
 
 fn place(shared: &Arc<Shared>, leadership: &mut Leadership, now: Timestamp) {
     let mut engine = shared.engine();
-    let Some(round) = leadership.plans.due(engine.waits(), now) else {
+    let Some(round) = leadership.plans.due(engine.needs_waiting_round(), now) else {
         return;
     };
     let steps = match round {
         PlanRound::All => engine.plan(now),
-        PlanRound::Waited => engine.plan_waited(now),
+        PlanRound::Waited => engine.plan_for_waiting(now),
     };
     let events = engine.take_events();
     drop(engine);
@@ -350,7 +350,7 @@
 fn feed(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
     let settles = !leadership.settled && now.since(leadership.since) >= SETTLE;
     let mut engine = shared.engine();
-    engine.mark_ready(now);
+    engine.mark_adapters_ready(now);
     engine.expire(now);
     drop(engine);
     let due = now.since(leadership.fed_at) >= instances_interval(shared.sessions.count());
@@ -399,7 +399,7 @@
 /// Tells what all routers use.
 fn send_usage(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
     leadership.usage_at = now;
-    let instances = shared.engine().usage_of_all();
+    let instances = shared.engine().total_usage();
     shared.sessions.broadcast(FeedMessage::Usage {
         configuration: leadership.configuration,
         routers: u32::try_from(shared.routers().count()).unwrap_or(u32::MAX),
--- a/crates/coordinator/src/limits.rs
+++ b/crates/coordinator/src/limits.rs
@@ -79,7 +79,7 @@
 pub(crate) fn told(shared: &Shared, now: Timestamp) -> Option<FeedMessage> {
     let mut engine = shared.engine();
     let mut limits = shared.limits();
-    limits.retain(|instance| engine.knows(instance), now);
+    limits.retain(|instance| engine.contains(instance), now);
     engine.set_limits(limits.rates());
     let words = limits.words(now);
     (!words.is_empty()).then_some(FeedMessage::Limits(words))
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -34,14 +34,14 @@
     // Never closed.
     let _turn = shared.calls.acquire().await;
     match step {
-        PlacementStep::Ask { instance, address } => {
+        PlacementStep::QueryInstance { instance, address } => {
             let reply = ask(&instance, &address, &shared).await;
             let report = reply.as_ref().and_then(|reply| read_report(reply, &shared));
             let now = shared.clock.now();
             shared.engine().on_report(&instance, report, now);
             hear(&instance, reply.as_ref(), &shared);
         }
-        PlacementStep::Give(order) => {
+        PlacementStep::SendOrder(order) => {
             let began = Instant::now();
             let (outcome, reply) = give(&order, &shared).await;
             record(&order, outcome, began.elapsed(), &shared);
@@ -79,7 +79,7 @@
     let asked = read_asked_rest(reply.status, &reply.headers, SystemTime::now());
     if let RetryAfter::After(rest) = asked {
         let now = shared.clock.now();
-        shared.engine().asked_rest(instance, rest, now);
+        shared.engine().start_backoff(instance, rest, now);
         emit(&ControllerRecord::InstanceRests {
             instance: instance.as_str(),
             status: reply.status.as_u16(),
@@ -106,21 +106,21 @@
         OrderOutcome::Refused => "refused",
     };
     shared.metrics.order(action, outcome, order.from_store);
-    let evidence = &order.evidence;
+    let rationale = &order.rationale;
     emit(&ControllerRecord::Order {
         action,
         model: order.action.model().as_str(),
         adapter: order.action.adapter(),
         instance: order.instance.as_str(),
-        expected: order.expected,
+        expected: order.expected_sequence,
         term: shared.replica.status().borrow().term.0,
         outcome,
-        copies: evidence.copies,
-        desired: evidence.desired,
-        rate_per_1000_s: evidence.rate_per_1000_s,
-        waited_for: evidence.waited_for,
+        copies: rationale.replicas,
+        desired: rationale.desired,
+        rate_per_1000_s: rationale.rate_per_1000_s,
+        waited_for: rationale.has_waiting_requests,
         from_store: order.from_store,
-        store_loads: evidence.store_loads,
+        store_loads: rationale.store_loads,
         after_ms: u64::try_from(took.as_millis()).unwrap_or(u64::MAX),
     });
 }
--- a/crates/coordinator/src/records.rs
+++ b/crates/coordinator/src/records.rs
@@ -224,10 +224,10 @@
 /// The record of what the placement engine tells.
 pub(crate) fn placement(event: &PlacementEvent) -> ControllerRecord<'_> {
     match event {
-        PlacementEvent::SetAside(one) => ControllerRecord::SetAside {
+        PlacementEvent::InstanceReserved(one) => ControllerRecord::SetAside {
             model: one.model.as_str(),
             instance: one.instance.as_str(),
-            source: one.source.word(),
+            source: one.source.as_str(),
             ready_after_ms: one.ready_after.0,
             cost_per_1000: (one.cost * 1000.0) as u64,
             waiting: one.waiting,
@@ -236,8 +236,8 @@
         PlacementEvent::LoadEnded(one) => ControllerRecord::Loaded {
             model: one.model.as_str(),
             instance: one.instance.as_str(),
-            source: one.source.word(),
-            took_ms: one.took.0,
+            source: one.source.as_str(),
+            took_ms: one.duration.0,
             store_loads_by_10: (one.store_loads * 10.0) as u64,
             store_limit: one.store_limit,
         },
--- a/crates/coordinator/src/reports.rs
+++ b/crates/coordinator/src/reports.rs
@@ -55,7 +55,7 @@
 
 /// Forgets what a router used: it follows no more.
 pub(crate) fn forget(router: &str, shared: &Shared) {
-    shared.engine().forget_router(router);
+    shared.engine().remove_router(router);
     shared.quotas().router_lost(router, shared.clock.now());
 }
 
@@ -124,7 +124,7 @@
 /// Takes note of instances that said to a router, or to this controller, that they leave.
 pub(crate) fn take_leaving(told_by: &str, leaving: &[RunnerId], shared: &Shared) {
     for instance in leaving {
-        if shared.engine().leaves_by_its_word(instance) {
+        if shared.engine().mark_leaving_if_ready(instance) {
             emit(&ControllerRecord::LeavesByItsWord {
                 instance: instance.as_str(),
                 told_by,
--- a/crates/services/examples/fleet_costs.rs
+++ b/crates/services/examples/fleet_costs.rs
@@ -152,13 +152,19 @@
                 engine.report_usage("router", Vec::new(), &[wanted], STORE_READY);
                 engine
             },
-            |engine| assert_eq!(engine.plan_waited(STORE_READY).len(), 1, "it has a place"),
+            |engine| {
+                assert_eq!(
+                    engine.plan_for_waiting(STORE_READY).len(),
+                    1,
+                    "it has a place"
+                )
+            },
         );
         let ready = median(
             || engine(instances),
             |engine| {
                 for _ in 0..1_000 {
-                    std::hint::black_box(engine.next_ready());
+                    std::hint::black_box(engine.next_adapter_ready());
                 }
             },
         );
--- a/crates/services/src/lib.rs
+++ b/crates/services/src/lib.rs
@@ -51,8 +51,8 @@
 pub use limit::local::{LimitNews, LimitStep, RouterLimits};
 pub use limit::{LimitAnswer, LimitAsk, LimitVerdict, LimitWord, NamedLimit, RequestRate};
 pub use placement::{
-    InstanceReport, LoadEnd, LoadSource, Order, OrderAction, OrderEvidence, OrderOutcome,
-    PlacementEngine, PlacementEvent, PlacementSettings, PlacementStep, SetAside,
+    InstanceReport, InstanceReservation, LoadEnd, LoadSource, Order, OrderAction, OrderOutcome,
+    OrderRationale, PlacementEngine, PlacementEvent, PlacementSettings, PlacementStep,
 };
 pub use quarantine::ledger::{QuarantineChange, QuarantineLedger};
 pub use quarantine::local::RouterQuarantine;
--- a/crates/services/src/placement/event.rs
+++ b/crates/services/src/placement/event.rs
@@ -7,14 +7,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlacementEvent {
     /// An instance was set aside for a model.
-    SetAside(SetAside),
+    InstanceReserved(InstanceReservation),
     /// A model's load has ended.
     LoadEnded(LoadEnd),
 }
 
 /// An instance that was set aside for a model.
 #[derive(Debug, Clone, PartialEq)]
-pub struct SetAside {
+pub struct InstanceReservation {
     /// The instance.
     pub instance: RunnerId,
     /// The model.
@@ -41,7 +41,7 @@
     /// Where the weights came from.
     pub source: LoadSource,
     /// From the order's acceptance to the sign that the model is there.
-    pub took: Millis,
+    pub duration: Millis,
     /// Loads from the weight store under way meanwhile, this one included, in
     /// the mean; 0 for a load from elsewhere.
     pub store_loads: f64,
--- a/crates/services/src/placement/instance/copies.rs
+++ b/crates/services/src/placement/instance/copies.rs
@@ -26,7 +26,7 @@
 impl LoadSource {
     /// A word for records.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Memory => "memory",
             Self::Disk => "disk",
--- a/crates/services/src/placement/instance/mod.rs
+++ b/crates/services/src/placement/instance/mod.rs
@@ -41,7 +41,7 @@
     /// Adapters being loaded, with their models.
     pub pending: Vec<(ModelName, String)>,
     /// Weights that it can load without the weight store, if it tells.
-    pub copies: Option<WeightCopies>,
+    pub cached_weights: Option<WeightCopies>,
 }
 
 /// A model on the instance.
--- a/crates/services/src/placement/instance/orders.rs
+++ b/crates/services/src/placement/instance/orders.rs
@@ -108,7 +108,7 @@
         if report.busy || !fresh {
             self.ask_after = now + ASK_AGAIN;
         }
-        if fresh && let Some(told) = &report.copies {
+        if fresh && let Some(told) = &report.cached_weights {
             self.copies.told(told, engine, now);
         }
         if !report.busy && fresh {
@@ -156,7 +156,7 @@
             }
             OrderOutcome::Unknown => {
                 self.sequence = None;
-                self.unanswered = Some(order.expected);
+                self.unanswered = Some(order.expected_sequence);
                 self.changed_at = Some(now);
                 self.ask_after = now + ASK_AFTER_UNKNOWN;
                 false
--- a/crates/services/src/placement/mod.rs
+++ b/crates/services/src/placement/mod.rs
@@ -25,9 +25,9 @@
 mod waited;
 mod worth;
 
-pub use event::{LoadEnd, PlacementEvent, SetAside};
+pub use event::{InstanceReservation, LoadEnd, PlacementEvent};
 pub use instance::{InstanceReport, LoadSource};
-pub use order::{Order, OrderAction, OrderEvidence, OrderOutcome, PlacementStep};
+pub use order::{Order, OrderAction, OrderOutcome, OrderRationale, PlacementStep};
 
 use crate::configuration::ServiceConfiguration;
 use crate::instance::{InstanceState, InstanceView, Registration, WeightCopies};
@@ -51,7 +51,7 @@
     /// Span over which the weight store's ceiling is judged.
     pub ceiling_window: Millis,
     /// Part of an instance's reading speed that one copy of a model may use.
-    pub copy_utilisation: f64,
+    pub replica_utilisation: f64,
 }
 
 impl Default for PlacementSettings {
@@ -59,7 +59,7 @@
         Self {
             silence_limit: Millis(5_000),
             ceiling_window: Millis(5_000),
-            copy_utilisation: 0.33,
+            replica_utilisation: 0.33,
         }
     }
 }
@@ -164,7 +164,7 @@
         let id = registration.id.clone();
         match self.lives.note(&id) {
             Life::Earlier => return false,
-            Life::Begins { ended: Some(ended) } => self.depart(&ended, now),
+            Life::Begins { ended: Some(ended) } => self.mark_terminated(&ended, now),
             Life::Begins { ended: None } | Life::Newest => {}
         }
         if self.leaving.contains(&id) {
@@ -223,7 +223,7 @@
             },
         };
         if registration.state == InstanceState::Leaving {
-            self.leave(&registration.id);
+            self.mark_leaving(&registration.id);
         }
         Ok(self.register(registration, now))
     }
@@ -282,7 +282,7 @@
     }
 
     /// Notes that an instance takes no more work.
-    pub fn leave(&mut self, id: &RunnerId) {
+    pub fn mark_leaving(&mut self, id: &RunnerId) {
         let id = &self.lives.newest(id).clone();
         self.leaving.insert(id.clone());
         match self.instances.get_mut(id) {
@@ -298,11 +298,11 @@
 
     /// Notes that an instance said in an answer that it takes no more work; returns whether
     /// that is news. It is not committed: who heard it tells the next leader again.
-    pub fn leaves_by_its_word(&mut self, id: &RunnerId) -> bool {
+    pub fn mark_leaving_if_ready(&mut self, id: &RunnerId) -> bool {
         let instance = self.instances.get(id);
         let is_news = instance.is_some_and(|one| one.state() == InstanceState::Ready);
         if is_news {
-            self.leave(id);
+            self.mark_leaving(id);
         }
         is_news
     }
@@ -313,14 +313,14 @@
     }
 
     /// Notes that an instance asked for rest: it is neither asked nor ordered anything.
-    pub fn asked_rest(&mut self, id: &RunnerId, rest: Millis, now: Timestamp) {
+    pub fn start_backoff(&mut self, id: &RunnerId, rest: Millis, now: Timestamp) {
         if let Some(instance) = self.instances.get_mut(id) {
             instance.asked_rest(rest, now);
         }
     }
 
     /// Notes that an instance has ended, or is about to.
-    pub fn depart(&mut self, id: &RunnerId, now: Timestamp) {
+    pub fn mark_terminated(&mut self, id: &RunnerId, now: Timestamp) {
         let id = &self.lives.newest(id).clone();
         self.departed.insert(id.clone(), now);
         self.leaving.insert(id.clone());
@@ -390,14 +390,14 @@
     }
 
     /// Forgets a router that is gone.
-    pub fn forget_router(&mut self, router: &str) {
+    pub fn remove_router(&mut self, router: &str) {
         self.usage.forget(router);
         self.demand.forget(router);
     }
 
     /// Usage summed over all routers.
     #[must_use]
-    pub fn usage_of_all(&self) -> Vec<crate::feed::InstanceUsage> {
+    pub fn total_usage(&self) -> Vec<crate::feed::InstanceUsage> {
         self.usage.all()
     }
 
@@ -418,7 +418,7 @@
 
     /// Whether an instance is known.
     #[must_use]
-    pub fn knows(&self, id: &RunnerId) -> bool {
+    pub fn contains(&self, id: &RunnerId) -> bool {
         self.instances.contains(id)
     }
 
--- a/crates/services/src/placement/order.rs
+++ b/crates/services/src/placement/order.rs
@@ -54,24 +54,24 @@
     /// What to do.
     pub action: OrderAction,
     /// Orders that the instance has taken so far.
-    pub expected: u64,
+    pub expected_sequence: u64,
     /// Whether it counts as a load from the weight store.
     pub from_store: bool,
     /// What the decision rests on.
-    pub evidence: OrderEvidence,
+    pub rationale: OrderRationale,
 }
 
 /// What the decision to give an order rests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OrderEvidence {
+pub struct OrderRationale {
     /// Copies of the model, those on their way included.
-    pub copies: usize,
+    pub replicas: usize,
     /// Copies that the demand needs.
     pub desired: usize,
     /// Requests for the model in a thousand seconds.
     pub rate_per_1000_s: u64,
     /// Whether requests wait for the model.
-    pub waited_for: bool,
+    pub has_waiting_requests: bool,
     /// Loads from the weight store under way.
     pub store_loads: usize,
 }
@@ -80,14 +80,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacementStep {
     /// Ask an instance how it stands.
-    Ask {
+    QueryInstance {
         /// The instance.
         instance: RunnerId,
         /// Its address.
         address: String,
     },
     /// Give an order.
-    Give(Order),
+    SendOrder(Order),
 }
 
 /// What became of an order.
--- a/crates/services/src/placement/outcomes.rs
+++ b/crates/services/src/placement/outcomes.rs
@@ -40,7 +40,7 @@
             instance: id.clone(),
             model: finished.model,
             source: finished.source,
-            took: finished.took,
+            duration: finished.took,
             store_loads,
             store_limit,
         }));
--- a/crates/services/src/placement/planning.rs
+++ b/crates/services/src/placement/planning.rs
@@ -6,7 +6,8 @@
 use super::round::Round;
 use super::store::WeightStore;
 use super::{
-    Order, OrderAction, OrderEvidence, PlacementEngine, PlacementEvent, PlacementStep, SetAside,
+    InstanceReservation, Order, OrderAction, OrderRationale, PlacementEngine, PlacementEvent,
+    PlacementStep,
 };
 use crate::configuration::{Engine, ModelSpecification};
 use crate::instance::InstanceState;
@@ -75,12 +76,12 @@
 
     /// The next moment at which a view changes by itself.
     #[must_use]
-    pub fn next_ready(&self) -> Option<Timestamp> {
+    pub fn next_adapter_ready(&self) -> Option<Timestamp> {
         self.instances.next_ready()
     }
 
     /// Marks the instances of which an adapter became ready since the last call.
-    pub fn mark_ready(&mut self, now: Timestamp) {
+    pub fn mark_adapters_ready(&mut self, now: Timestamp) {
         let ready = self.instances.take_ready(now);
         self.changed.extend(ready);
     }
@@ -276,7 +277,7 @@
             }
         }
         let given = self.give(id, OrderAction::LoadModel(model.clone()), steps);
-        if given && let Some(PlacementStep::Give(order)) = steps.last_mut() {
+        if given && let Some(PlacementStep::SendOrder(order)) = steps.last_mut() {
             order.from_store = from_store;
         }
     }
@@ -297,34 +298,34 @@
         };
         let service = &instance.registration().service;
         let store_loads = self.stores.get(service).map_or(0, WeightStore::under_way);
-        let evidence = self.evidence(action.model(), store_loads);
+        let rationale = self.rationale(action.model(), store_loads);
         let Some(instance) = self.instances.get_mut(id) else {
             return false;
         };
         self.calls += 1;
-        let Some(expected) = instance.sequence() else {
+        let Some(expected_sequence) = instance.sequence() else {
             steps.push(ask(instance));
             return false;
         };
         instance.start_order(action.clone());
-        steps.push(PlacementStep::Give(Order {
+        steps.push(PlacementStep::SendOrder(Order {
             instance: id.clone(),
             address: instance.address().to_owned(),
             action,
-            expected,
+            expected_sequence,
             from_store: false,
-            evidence,
+            rationale,
         }));
         true
     }
 
-    fn evidence(&self, model: &ModelName, store_loads: usize) -> OrderEvidence {
+    fn rationale(&self, model: &ModelName, store_loads: usize) -> OrderRationale {
         let facts = self.round.facts(model);
-        OrderEvidence {
-            copies: self.round.count(model),
+        OrderRationale {
+            replicas: self.round.count(model),
             desired: facts.desired,
             rate_per_1000_s: (facts.demand.fast * 1000.0) as u64,
-            waited_for: facts.waited_for,
+            has_waiting_requests: facts.waited_for,
             store_loads,
         }
     }
@@ -374,15 +375,16 @@
             }
             round.add_copy(model, &id);
         });
-        self.events.push(PlacementEvent::SetAside(SetAside {
-            instance: id.clone(),
-            model: model.clone(),
-            source: place.source,
-            ready_after: place.ready_after,
-            cost: place.cost,
-            waiting: self.round.facts(model).waiting,
-            displaced,
-        }));
+        self.events
+            .push(PlacementEvent::InstanceReserved(InstanceReservation {
+                instance: id.clone(),
+                model: model.clone(),
+                source: place.source,
+                ready_after: place.ready_after,
+                cost: place.cost,
+                waiting: self.round.facts(model).waiting,
+                displaced,
+            }));
         self.changed.insert(id.clone());
         if place.is_free {
             self.go_on(&id, model, planned, steps);
@@ -401,7 +403,7 @@
 
 fn ask(instance: &mut Instance) -> PlacementStep {
     instance.start_asking();
-    PlacementStep::Ask {
+    PlacementStep::QueryInstance {
         instance: instance.id().clone(),
         address: instance.address().to_owned(),
     }
--- a/crates/services/src/placement/round.rs
+++ b/crates/services/src/placement/round.rs
@@ -91,7 +91,7 @@
             knows_demand: placement.knows_demand(now),
             ..Self::default()
         };
-        let utilisation = placement.settings.copy_utilisation;
+        let utilisation = placement.settings.replica_utilisation;
         let store = placement.stores.get(service);
         let store_delay = |one: &ModelSpecification| {
             store.map_or(Millis(0), |store| store.delay(one.load_time, 0, now))
--- a/crates/services/src/placement/waited.rs
+++ b/crates/services/src/placement/waited.rs
@@ -19,12 +19,12 @@
 impl PlacementEngine {
     /// Whether there may be something to do for what requests wait for.
     #[must_use]
-    pub fn waits(&self) -> bool {
+    pub fn needs_waiting_round(&self) -> bool {
         self.waits
     }
 
     /// What to do now for what requests wait for.
-    pub fn plan_waited(&mut self, now: Timestamp) -> Vec<PlacementStep> {
+    pub fn plan_for_waiting(&mut self, now: Timestamp) -> Vec<PlacementStep> {
         let mut steps = Vec::new();
         self.waits = false;
         let configuration = self.configuration.clone();
--- a/crates/services/tests/lives.rs
+++ b/crates/services/tests/lives.rs
@@ -59,7 +59,7 @@
     let later = vec![(RunnerId::of_life("i-1", SECOND), "new".to_owned())];
     assert_eq!(models(&engine, now), later);
     assert!(!engine.register(registration(Some(FIRST), 91, "old"), now));
-    engine.depart(&RunnerId::of_life("i-1", FIRST), now);
+    engine.mark_terminated(&RunnerId::of_life("i-1", FIRST), now);
     assert_eq!(models(&engine, now), later);
     let (_, gone) = engine.take_changes(now);
     assert!(
@@ -73,7 +73,7 @@
     let mut engine = engine();
     let now = Timestamp(10_000);
     engine.register(registration(Some(FIRST), 1, "m"), now);
-    engine.depart(&RunnerId::from("i-1"), now);
+    engine.mark_terminated(&RunnerId::from("i-1"), now);
     assert!(models(&engine, now).is_empty());
     assert!(!engine.register(registration(Some(FIRST), 2, "m"), now));
     assert!(engine.register(registration(Some(SECOND), 1, "m"), now));
--- a/crates/services/tests/placement.rs
+++ b/crates/services/tests/placement.rs
@@ -114,13 +114,13 @@
         let id = RunnerId::from(format!("r{number}"));
         world.register(&id);
     }
-    world.engine.leave(&id);
+    world.engine.mark_leaving(&id);
     world.register(&id);
     assert!(
         !world.engine.is_ready(&id),
         "a later registration revived it"
     );
-    world.engine.depart(&id, Timestamp::at(world.now));
+    world.engine.mark_terminated(&id, Timestamp::at(world.now));
     world.register(&id);
     let views = world.engine.views(Timestamp::at(world.now));
     assert!(views.iter().all(|view| view.id != id));
@@ -132,8 +132,8 @@
         let mut world = World::new(6, 1, 0);
         let id = RunnerId::from("unknown");
         match ends {
-            true => world.engine.depart(&id, Timestamp(10)),
-            false => world.engine.leave(&id),
+            true => world.engine.mark_terminated(&id, Timestamp(10)),
+            false => world.engine.mark_leaving(&id),
         }
         let (changed, gone) = world.engine.take_changes(Timestamp(10));
         assert!(changed.is_empty());
@@ -151,18 +151,18 @@
         world.step(&wanted);
         // It takes no orders itself, so that nothing else is disturbed.
         let leaving = RunnerId::from("r17");
-        world.engine.leave(&leaving);
+        world.engine.mark_leaving(&leaving);
         let order = Order {
             instance: leaving,
             address: String::new(),
             action: OrderAction::UnloadAdapter("m0".into(), "none".to_owned()),
-            expected: 0,
+            expected_sequence: 0,
             from_store: false,
-            evidence: OrderEvidence {
-                copies: 1,
+            rationale: OrderRationale {
+                replicas: 1,
                 desired: 1,
                 rate_per_1000_s: 0,
-                waited_for: false,
+                has_waiting_requests: false,
                 store_loads: 0,
             },
         };
@@ -180,7 +180,7 @@
 fn a_late_registration_does_not_bring_a_leaving_instance_back() {
     let mut world = World::new(8, 1, 0);
     let id = RunnerId::from("r0");
-    world.engine.leave(&id);
+    world.engine.mark_leaving(&id);
     world.register(&id);
     assert!(!world.engine.is_ready(&id), "it was ready when it said so");
 }
@@ -197,7 +197,7 @@
     assert_eq!(views.len(), 3);
     let mut engine = PlacementEngine::new(PlacementSettings::default());
     engine.configure(configuration(), Timestamp(0));
-    engine.leave(&RunnerId::from("r0"));
+    engine.mark_leaving(&RunnerId::from("r0"));
     for view in &views {
         engine.seed(view, Timestamp(0));
     }
@@ -206,7 +206,7 @@
     let orders = engine.plan(Timestamp(100));
     let given = orders
         .iter()
-        .any(|step| matches!(step, PlacementStep::Give(_)));
+        .any(|step| matches!(step, PlacementStep::SendOrder(_)));
     assert!(!given, "no order before the instance was asked: {orders:?}");
     engine.expire(Timestamp(5_100));
     assert!(
@@ -368,7 +368,7 @@
     world.step(&[]);
     let resting = RunnerId::from("r0");
     let now = Timestamp::at(world.now);
-    world.engine.asked_rest(&resting, Millis(REST), now);
+    world.engine.start_backoff(&resting, Millis(REST), now);
     let ends = world.now + REST;
     let before = world.runners[&resting].sequence;
     while world.now + 10 < ends {
@@ -391,9 +391,13 @@
     world.step(&[]);
     let id = RunnerId::from("r0");
     world.register(&id);
-    assert!(world.engine.leaves_by_its_word(&id));
-    assert!(!world.engine.leaves_by_its_word(&id));
-    assert!(!world.engine.leaves_by_its_word(&RunnerId::from("unknown")));
+    assert!(world.engine.mark_leaving_if_ready(&id));
+    assert!(!world.engine.mark_leaving_if_ready(&id));
+    assert!(
+        !world
+            .engine
+            .mark_leaving_if_ready(&RunnerId::from("unknown"))
+    );
     world.register(&id);
     assert!(!world.engine.is_ready(&id), "its registration says ready");
 }
--- a/crates/services/tests/placement_world/mod.rs
+++ b/crates/services/tests/placement_world/mod.rs
@@ -86,7 +86,7 @@
 
     /// Takes an order as the platform's pages say; fails on what overfills it.
     pub fn take(&mut self, order: &Order, now: u64, store_load_time: u64) -> OrderOutcome {
-        if order.expected != self.sequence || self.busy.is_some() {
+        if order.expected_sequence != self.sequence || self.busy.is_some() {
             return OrderOutcome::Conflict;
         }
         self.sequence += 1;
@@ -187,7 +187,7 @@
     pub fn new(seed: u64, runners: usize, lost_share: u32) -> Self {
         // Demands of the tests are sized for this part.
         let settings = PlacementSettings {
-            copy_utilisation: 0.25,
+            replica_utilisation: 0.25,
             ..PlacementSettings::default()
         };
         let mut engine = PlacementEngine::new(settings);
@@ -275,9 +275,10 @@
         if now.is_multiple_of(self.plans_every) {
             let steps = self.engine.plan(Timestamp::at(now));
             self.carry_out_all(steps);
-        } else if plans_waited.is_some_and(|every| now.is_multiple_of(every)) && self.engine.waits()
+        } else if plans_waited.is_some_and(|every| now.is_multiple_of(every))
+            && self.engine.needs_waiting_round()
         {
-            let steps = self.engine.plan_waited(Timestamp::at(now));
+            let steps = self.engine.plan_for_waiting(Timestamp::at(now));
             self.carry_out_all(steps);
         }
     }
@@ -338,7 +339,7 @@
     pub fn carry_out(&mut self, step: PlacementStep) {
         let now = self.now;
         match step {
-            PlacementStep::Ask { instance, .. } => {
+            PlacementStep::QueryInstance { instance, .. } => {
                 let runner = self.runners.get(&instance).expect("a runner");
                 let report = InstanceReport {
                     models: runner.held(),
@@ -346,12 +347,12 @@
                     sequence: runner.sequence,
                     pending: Vec::new(),
                     started: None,
-                    copies: None,
+                    cached_weights: None,
                 };
                 self.engine
                     .on_report(&instance, Some(report), Timestamp::at(now));
             }
-            PlacementStep::Give(order) => {
+            PlacementStep::SendOrder(order) => {
                 self.given.push(now);
                 if self.unreachable.contains(&order.instance) {
                     let outcome = OrderOutcome::Unreachable;
--- a/crates/services/tests/store_contention.rs
+++ b/crates/services/tests/store_contention.rs
@@ -39,7 +39,7 @@
 fn replace_all(world: &mut World) {
     let before = std::mem::take(&mut world.runners);
     for id in before.keys() {
-        world.engine.depart(id, Timestamp::at(world.now));
+        world.engine.mark_terminated(id, Timestamp::at(world.now));
     }
     for number in 0..INSTANCES {
         let id = RunnerId::from(format!("n{}-{number}", world.now));
--- a/crates/services/tests/waited_rounds.rs
+++ b/crates/services/tests/waited_rounds.rs
@@ -51,7 +51,7 @@
     world
         .events
         .iter()
-        .any(|event| matches!(event, PlacementEvent::SetAside(one) if one.model.as_str() == model))
+        .any(|event| matches!(event, PlacementEvent::InstanceReserved(one) if one.model.as_str() == model))
 }
 
 /// Has requests wait for a model without a copy.
@@ -138,7 +138,8 @@
         world.plans_every = 50;
         wait_for_one(&mut world);
         let set_aside = world.events.iter();
-        let set_aside = set_aside.filter(|event| matches!(event, PlacementEvent::SetAside(_)));
+        let set_aside =
+            set_aside.filter(|event| matches!(event, PlacementEvent::InstanceReserved(_)));
         assert_eq!(set_aside.count(), 1, "seed {seed}");
     }
 }
--- a/crates/services/tests/whole_fleet.rs
+++ b/crates/services/tests/whole_fleet.rs
@@ -43,7 +43,7 @@
 /// Answers what an instance is asked, or told.
 fn answer(engine: &mut PlacementEngine, step: &PlacementStep, now: Timestamp) {
     match step {
-        PlacementStep::Ask { instance, .. } => {
+        PlacementStep::QueryInstance { instance, .. } => {
             let number = instance
                 .0
                 .trim_start_matches("i-")
@@ -56,7 +56,7 @@
             };
             engine.on_report(instance, Some(report), now);
         }
-        PlacementStep::Give(order) => engine.on_outcome(order, OrderOutcome::Accepted, now),
+        PlacementStep::SendOrder(order) => engine.on_outcome(order, OrderOutcome::Accepted, now),
     }
 }
 
@@ -70,10 +70,11 @@
     let (mut asked, mut adapters) = (0, 0);
     for _ in 0..12 {
         let steps = engine.plan(now);
-        let is_question = |step: &&PlacementStep| matches!(step, PlacementStep::Ask { .. });
+        let is_question =
+            |step: &&PlacementStep| matches!(step, PlacementStep::QueryInstance { .. });
         asked += steps.iter().filter(is_question).count();
         let is_adapter = |step: &&PlacementStep| {
-            matches!(step, PlacementStep::Give(order)
+            matches!(step, PlacementStep::SendOrder(order)
                 if matches!(order.action, OrderAction::LoadAdapter(..)))
         };
         adapters += steps.iter().filter(is_adapter).count();
@@ -114,7 +115,7 @@
     for _ in 0..50 {
         now = Timestamp(now.0 + 20);
         for step in engine.plan(now) {
-            loaded |= matches!(&step, PlacementStep::Give(order)
+            loaded |= matches!(&step, PlacementStep::SendOrder(order)
                 if order.action == OrderAction::LoadModel(ModelName::from("m7")));
             answer(&mut engine, &step, now);
         }
@@ -135,12 +136,12 @@
     engine.register(registration(1, 2, 2), start);
     let later = Timestamp(start.0 + 1_500);
     engine.register(registration(3, 1, 1), later);
-    assert!(engine.knows(&RunnerId::from("i-1")));
+    assert!(engine.contains(&RunnerId::from("i-1")));
     // One that comes to its new address replaces it: it is silent.
     engine.register(registration(4, 2, 1), later);
-    assert!(!engine.knows(&RunnerId::from("i-1")));
-    assert!(engine.knows(&RunnerId::from("i-3")));
-    assert!(engine.knows(&RunnerId::from("i-4")));
+    assert!(!engine.contains(&RunnerId::from("i-1")));
+    assert!(engine.contains(&RunnerId::from("i-3")));
+    assert!(engine.contains(&RunnerId::from("i-4")));
 }
 
 #[test]
@@ -150,7 +151,7 @@
     engine.configure(configuration(), start);
     engine.register(registration(1, 1, 1), start);
     let mut now = start;
-    while engine.next_ready().is_none() {
+    while engine.next_adapter_ready().is_none() {
         for step in engine.plan(now) {
             answer(&mut engine, &step, now);
         }
@@ -158,10 +159,12 @@
         assert!(now.0 < start.0 + 5_000, "an adapter is loaded");
     }
     let _ = engine.take_changes(now);
-    let due = engine.next_ready().expect("an adapter is on its way");
-    engine.mark_ready(Timestamp(due.0 - 1));
+    let due = engine
+        .next_adapter_ready()
+        .expect("an adapter is on its way");
+    engine.mark_adapters_ready(Timestamp(due.0 - 1));
     assert!(engine.take_changes(now).0.is_empty(), "not yet");
-    engine.mark_ready(due);
+    engine.mark_adapters_ready(due);
     let (changed, _) = engine.take_changes(due);
     assert_eq!(changed.len(), 1);
     assert!(!changed[0].models[0].adapters.is_empty(), "{changed:?}");
