--- a/crates/services/src/placement/adapters.rs
+++ b/crates/services/src/placement/adapters.rs
@@ -1,75 +1,83 @@
-//! The decisions on adapters: which instance loads one, and which gives way.
+//! Decides which instance loads an adapter and which adapter is evicted for it.
 
 use super::instance::Instance;
-use super::planning::Planned;
+use super::planning::PlanContext;
 use super::{OrderAction, PlacementEngine, PlacementStep};
 use crate::configuration::Engine;
 use courseshunt_types::{Millis, ModelName, RunnerId};
 
-/// An adapter is not evicted sooner after its load or use.
-const LEAST_ADAPTER_STAY: Millis = Millis(400);
+/// Minimum time between the load or last use of an adapter and its eviction.
+const MIN_ADAPTER_RESIDENCY: Millis = Millis(400);
 
 impl PlacementEngine {
-    /// Loads an adapter that is waited for where the model is, or makes room for it.
+    /// Loads an adapter that requests wait for on an instance that holds the model, or evicts
+    /// another adapter to make room for it.
     pub(super) fn add_adapter(
         &mut self,
         model: &ModelName,
         adapter: &str,
-        planned: &Planned<'_>,
+        context: &PlanContext<'_>,
         steps: &mut Vec<PlacementStep>,
     ) {
-        let engine = planned.engine;
-        let size = engine
+        let engine = context.engine;
+        let size_mb = engine
             .model(model.as_str())
             .map_or(0.0, |one| one.adapter_mb);
-        let instances = self.of_service(planned.service, planned.now);
-        let mut holders: Vec<&Instance> = instances.filter(|one| one.has(model)).collect();
+        let instances = self.usable_instances(context.service, context.now);
+        let mut holders: Vec<&Instance> = instances.filter(|one| one.holds(model)).collect();
         if holders.iter().any(|one| one.has_adapter(model, adapter)) {
             return;
         }
-        holders.retain(|one| one.is_free(planned.now));
-        let room = |one: &&Instance| {
-            one.adapters() < engine.adapter_slots
-                && one.memory_mb(engine) + size <= engine.memory_mb
+        holders.retain(|one| one.can_take_order(context.now));
+        let has_room = |one: &&Instance| {
+            one.adapter_count() < engine.adapter_slots
+                && one.committed_memory_mb(engine) + size_mb <= engine.memory_mb
         };
-        let with_room = holders.iter().copied().filter(room);
-        let load_of = |one: &Instance| (self.usage.in_flight(one.id()), one.adapters());
+        let with_room = holders.iter().copied().filter(has_room);
+        let load_of = |one: &Instance| (self.usage.in_flight(one.id()), one.adapter_count());
         if let Some(best) = with_room.min_by_key(|one| load_of(one)) {
             let id = best.id().clone();
             let action = OrderAction::LoadAdapter(model.clone(), adapter.to_owned());
-            self.give(&id, action, steps);
+            self.send_order(&id, action, steps);
             return;
         }
-        let crowded = holders.into_iter().filter_map(|one| {
-            let oldest = one.oldest_adapter(planned.now, LEAST_ADAPTER_STAY)?;
+        let without_room = holders.into_iter().filter_map(|one| {
+            let oldest = one.least_recently_used_adapter(context.now, MIN_ADAPTER_RESIDENCY)?;
             Some((self.usage.in_flight(one.id()), one.id().clone(), oldest))
         });
-        let least = crowded.min_by_key(|(in_flight, _, _)| *in_flight);
-        if let Some((_, id, (model, adapter))) = least {
-            self.give(&id, OrderAction::UnloadAdapter(model, adapter), steps);
+        let least_loaded = without_room.min_by_key(|(in_flight, _, _)| *in_flight);
+        if let Some((_, id, (model, adapter))) = least_loaded {
+            self.send_order(&id, OrderAction::UnloadAdapter(model, adapter), steps);
         }
     }
 
-    /// Fills free adapter places with adapters that no instance holds.
-    pub(super) fn fill_adapters(&mut self, planned: &Planned<'_>, steps: &mut Vec<PlacementStep>) {
-        let slots = planned.engine.adapter_slots;
-        let instances = self.of_service(planned.service, planned.now);
-        let free = instances.filter(|one| {
-            one.is_free(planned.now) && one.intent().is_none() && one.adapters() < slots
+    /// Fills free adapter slots with adapters that no instance holds.
+    pub(super) fn fill_adapter_slots(
+        &mut self,
+        context: &PlanContext<'_>,
+        steps: &mut Vec<PlacementStep>,
+    ) {
+        let slots = context.engine.adapter_slots;
+        let instances = self.usable_instances(context.service, context.now);
+        let available = instances.filter(|one| {
+            one.can_take_order(context.now)
+                && one.reserved_for().is_none()
+                && one.adapter_count() < slots
         });
-        let free: Vec<RunnerId> = free.map(|one| one.id().clone()).collect();
-        for id in free {
-            if !self.may_call_unasked() {
+        let available: Vec<RunnerId> = available.map(|one| one.id().clone()).collect();
+        for id in available {
+            if !self.has_background_call_capacity() {
                 return;
             }
-            let Some((model, adapter)) = self.missing_adapter(&id, planned.engine) else {
+            let Some((model, adapter)) = self.missing_adapter(&id, context.engine) else {
                 continue;
             };
             let action = OrderAction::LoadAdapter(model.clone(), adapter.clone());
-            // Also where the instance is only asked for its number yet: otherwise all others
-            // that hold the model would be asked too, for one adapter.
-            self.give(&id, action, steps);
-            self.change_round(|round| {
+            // The adapter counts as held also when the instance is only queried for its sequence
+            // number so far: otherwise all other instances that hold the model would be queried
+            // too, for a single adapter.
+            self.send_order(&id, action, steps);
+            self.update_round(|round| {
                 round.adapters.entry(model).or_default().insert(adapter);
             });
         }
@@ -78,10 +86,10 @@
     /// An adapter of a model on this instance that no instance holds.
     fn missing_adapter(&self, id: &RunnerId, engine: &Engine) -> Option<(ModelName, String)> {
         let instance = self.instances.get(id)?;
-        let room = engine.memory_mb - instance.memory_mb(engine);
+        let free_mb = engine.memory_mb - instance.committed_memory_mb(engine);
         instance.held().find_map(|(name, _)| {
             let specification = engine.model(name.as_str())?;
-            if specification.adapter_mb > room {
+            if specification.adapter_mb > free_mb {
                 return None;
             }
             let held = self.round.adapters.get(name);
--- a/crates/services/src/placement/candidates.rs
+++ b/crates/services/src/placement/candidates.rs
@@ -1,144 +1,153 @@
-//! Which models another copy is wanted of, in the order of what it is worth, and
-//! what routers are told of those that wait for their turn.
+//! Selects the models that need another replica, ordered by the value of that replica, and
+//! announces to routers when the models that are queued for the weight store are expected.
 
-use super::demand::Wanted;
-use super::planning::{Planned, WANTED_IN_ROUND};
+use super::demand::WaitingRequests;
+use super::planning::{MAX_WAITING_PER_ROUND, PlanContext};
 use super::{PlacementEngine, PlacementStep};
 use crate::configuration::ModelSpecification;
 use courseshunt_types::{Millis, ModelName, Timestamp};
 use std::collections::BTreeMap;
 
-/// Loads that demand alone, without waiting requests, may start in one round.
-const SCALING_LOADS: usize = 2;
-/// Loads of models that nobody waits for that one round may start.
-const RESTORING_LOADS: usize = 2;
-/// Evicting for another copy of a busy model must be worth so much more.
+/// Loads per round that are started because of demand alone, without waiting requests.
+const SCALING_LOADS_PER_ROUND: usize = 2;
+/// Loads per round of models that no request waits for and that have no replica.
+const RESTORING_LOADS_PER_ROUND: usize = 2;
+/// Factor by which the value of another replica of a busy model must exceed the cost of the
+/// evictions for it.
 const SCALING_MARGIN: f64 = 1.5;
-/// The time at which a model is announced is corrected when it is off by more.
-const EXPECTED_SLACK: Millis = Millis(700);
+/// An announced time is corrected only when it differs by more than this from the expected time.
+const ANNOUNCEMENT_TOLERANCE: Millis = Millis(700);
 
-/// A model that another copy is wanted of.
+/// A model that needs another replica.
 pub(super) struct Candidate {
     pub(super) model: ModelName,
-    /// What it may evict, in late requests.
-    pub(super) worth: f64,
+    /// Value of the replica in late requests: the upper bound on the cost of evictions for it.
+    pub(super) value: f64,
     /// Whether requests wait for it.
-    waited_for: bool,
-    /// Whether nobody needs it now.
-    spare: bool,
+    has_waiting_requests: bool,
+    /// Whether there is no present need for it.
+    background: bool,
 }
 
 impl PlacementEngine {
-    /// Loads what is worth most first, so that the weight store and the places
-    /// go to that.
+    /// Starts loads in descending order of value, so that the weight store and the instances go to
+    /// the most valuable ones.
     pub(super) fn load_candidates(
         &mut self,
-        wanted: &[Wanted],
-        planned: &Planned<'_>,
+        waiting: &[WaitingRequests],
+        context: &PlanContext<'_>,
         steps: &mut Vec<PlacementStep>,
     ) {
-        let mut waiting = 0;
+        let mut queued = 0;
         let mut announced = BTreeMap::new();
-        for candidate in self.candidates(wanted) {
+        for candidate in self.candidates(waiting) {
             let model = &candidate.model;
-            let Some(specification) = planned.engine.model(model.as_str()) else {
+            let Some(specification) = context.engine.model(model.as_str()) else {
                 continue;
             };
-            let store = self.stores.get_mut(planned.service);
-            let has_turn = store.is_some_and(|store| store.has_room(candidate.spare, planned.now));
-            let queued = self.add_copy(specification, &candidate, has_turn, planned, steps);
-            let missing = self.round.count(model) == 0;
-            if missing && candidate.waited_for {
-                let after = queued.unwrap_or_else(|| {
-                    let delay = self.store_delay(specification, waiting, planned);
-                    waiting += 1;
+            let store = self.stores.get_mut(context.service);
+            let store_has_room =
+                store.is_some_and(|store| store.has_room(candidate.background, context.now));
+            let ready_after =
+                self.add_replica(specification, &candidate, store_has_room, context, steps);
+            let is_missing = self.round.replica_count(model) == 0;
+            if is_missing && candidate.has_waiting_requests {
+                let expected_in = ready_after.unwrap_or_else(|| {
+                    let delay = self.store_delay(specification, queued, context);
+                    queued += 1;
                     specification.load_time + delay
                 });
-                announced.insert(model.clone(), planned.now + after);
+                announced.insert(model.clone(), context.now + expected_in);
             }
         }
-        self.announce(announced, planned);
+        self.announce(announced, context);
     }
 
-    /// Models without a copy that requests wait for, the most waited for first.
-    pub(super) fn waited_for<'a>(
+    /// Models without a replica that requests wait for, in descending order of waiting requests.
+    pub(super) fn waiting_candidates<'a>(
         &'a self,
-        wanted: &'a [Wanted],
+        waiting: &'a [WaitingRequests],
     ) -> impl Iterator<Item = Candidate> + 'a {
         let mut models: Vec<ModelName> = Vec::new();
-        for one in wanted {
+        for one in waiting {
             let model = ModelName::from(one.key.model.as_str());
-            if self.round.count(&model) == 0 && !models.contains(&model) {
+            if self.round.replica_count(&model) == 0 && !models.contains(&model) {
                 models.push(model);
             }
         }
         models.into_iter().map(|model| Candidate {
-            worth: self.round.next_load_worth(&model),
-            waited_for: true,
-            spare: false,
+            value: self.round.next_load_value(&model),
+            has_waiting_requests: true,
+            background: false,
             model,
         })
     }
 
-    /// Models that another copy is wanted of, the worthiest first.
-    fn candidates(&self, wanted: &[Wanted]) -> Vec<Candidate> {
-        let waited = self.waited_for(wanted);
-        let short = self.round.short_of_copies().into_iter();
-        let short = first(SCALING_LOADS, short).map(|(worth, model)| Candidate {
-            worth: worth / SCALING_MARGIN,
-            waited_for: false,
-            spare: false,
-            model,
-        });
-        let missing = self.round.missing().into_iter();
-        let missing = first(RESTORING_LOADS, missing).map(|(worth, model)| Candidate {
-            worth: worth / SCALING_MARGIN,
-            waited_for: false,
-            spare: true,
-            model,
-        });
-        let mut all: Vec<Candidate> = waited
-            .take(WANTED_IN_ROUND)
-            .chain(short)
-            .chain(missing)
+    /// Models that need another replica, in descending order of value.
+    fn candidates(&self, waiting: &[WaitingRequests]) -> Vec<Candidate> {
+        let waiting = self.waiting_candidates(waiting);
+        let under_replicated = self.round.under_replicated().into_iter();
+        let under_replicated =
+            top_by_value(SCALING_LOADS_PER_ROUND, under_replicated).map(|(value, model)| {
+                Candidate {
+                    value: value / SCALING_MARGIN,
+                    has_waiting_requests: false,
+                    background: false,
+                    model,
+                }
+            });
+        let absent = self.round.without_replica().into_iter();
+        let absent =
+            top_by_value(RESTORING_LOADS_PER_ROUND, absent).map(|(value, model)| Candidate {
+                value: value / SCALING_MARGIN,
+                has_waiting_requests: false,
+                background: true,
+                model,
+            });
+        let mut all: Vec<Candidate> = waiting
+            .take(MAX_WAITING_PER_ROUND)
+            .chain(under_replicated)
+            .chain(absent)
             .collect();
-        all.sort_by(|left, right| right.worth.total_cmp(&left.worth));
+        all.sort_by(|left, right| right.value.total_cmp(&left.value));
         all
     }
 
     fn store_delay(
         &self,
         specification: &ModelSpecification,
-        waiting: usize,
-        planned: &Planned<'_>,
+        queued: usize,
+        context: &PlanContext<'_>,
     ) -> Millis {
-        let store = self.stores.get(planned.service);
+        let store = self.stores.get(context.service);
         store.map_or(Millis(0), |store| {
-            store.delay(specification.load_time, waiting, planned.now)
+            store.delay(specification.load_time, queued, context.now)
         })
     }
 
-    /// Tells routers when models are expected that wait for the weight store and
-    /// have no place yet. What was told before stands while it is about right.
-    fn announce(&mut self, mut due: BTreeMap<ModelName, Timestamp>, planned: &Planned<'_>) {
-        let instance = self.of_service(planned.service, planned.now).next();
+    /// Announces to routers when the models are expected that are queued for the weight store and
+    /// have no load target yet. An earlier announcement stays while it is within
+    /// [`ANNOUNCEMENT_TOLERANCE`].
+    fn announce(&mut self, mut due: BTreeMap<ModelName, Timestamp>, context: &PlanContext<'_>) {
+        let instance = self.usable_instances(context.service, context.now).next();
         let Some(id) = instance.map(|one| one.id().clone()) else {
             return;
         };
         for instance in self.instances.values_mut() {
-            let other = *instance.id() != id && instance.registration().service == planned.service;
-            if other && instance.announce(BTreeMap::new()) {
+            let is_other =
+                *instance.id() != id && instance.registration().service == context.service;
+            if is_other && instance.announce(BTreeMap::new()) {
                 self.changed.insert(instance.id().clone());
             }
         }
         let Some(instance) = self.instances.get_mut(&id) else {
             return;
         };
-        for (model, told) in instance.announced() {
+        for (model, previous) in instance.announced() {
             if let Some(due) = due.get_mut(model)
-                && told.since(*due).max(due.since(*told)) <= EXPECTED_SLACK
+                && previous.since(*due).max(due.since(*previous)) <= ANNOUNCEMENT_TOLERANCE
             {
-                *due = *told;
+                *due = *previous;
             }
         }
         if instance.announce(due) {
@@ -147,8 +156,8 @@
     }
 }
 
-/// The `count` worthiest.
-fn first(
+/// The `count` models of highest value.
+fn top_by_value(
     count: usize,
     models: impl Iterator<Item = (f64, ModelName)>,
 ) -> impl Iterator<Item = (f64, ModelName)> {
--- a/crates/services/src/placement/event.rs
+++ b/crates/services/src/placement/event.rs
@@ -1,50 +1,50 @@
-//! What the placement engine tells for records, besides its orders.
+//! Events of the placement engine for records; they are separate from the orders.
 
 use super::LoadSource;
 use courseshunt_types::{Millis, ModelName, RunnerId};
 
-/// One event.
+/// An event for the records.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlacementEvent {
-    /// An instance was set aside for a model.
+    /// An instance was reserved for a model.
     InstanceReserved(InstanceReservation),
-    /// A model's load has ended.
+    /// A model has been loaded.
     LoadEnded(LoadEnd),
 }
 
-/// An instance that was set aside for a model.
+/// The reservation of an instance for the load of a model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InstanceReservation {
-    /// The instance.
+    /// The reserved instance.
     pub instance: RunnerId,
-    /// The model.
+    /// The model to be loaded.
     pub model: ModelName,
-    /// Where the weights are to come from.
+    /// Where the weights will be loaded from.
     pub source: LoadSource,
-    /// When the model is expected.
+    /// Time until the model is expected to be loaded.
     pub ready_after: Millis,
-    /// What the place costs, in late requests.
+    /// Cost of this load target, in late requests.
     pub cost: f64,
     /// Requests that wait for the model.
     pub waiting: u32,
-    /// The model that the instance was set aside for before.
+    /// The model that the instance was reserved for before.
     pub displaced: Option<ModelName>,
 }
 
-/// A model's load that has ended.
+/// The completed load of a model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadEnd {
-    /// The instance.
+    /// The instance that holds the model.
     pub instance: RunnerId,
-    /// The model.
+    /// The loaded model.
     pub model: ModelName,
-    /// Where the weights came from.
+    /// Where the weights were loaded from.
     pub source: LoadSource,
-    /// From the order's acceptance to the sign that the model is there.
+    /// Time from the acceptance of the order to the first message that reports the model as loaded.
     pub duration: Millis,
-    /// Loads from the weight store under way meanwhile, this one included, in
-    /// the mean; 0 for a load from elsewhere.
+    /// Mean number of concurrent loads from the weight store during this load, itself included; 0
+    /// for a load from another source.
     pub store_loads: f64,
-    /// Loads from the weight store that may be under way from now on.
+    /// Limit of concurrent loads from the weight store after this load.
     pub store_limit: usize,
 }
--- a/crates/services/src/placement/instance/mod.rs
+++ b/crates/services/src/placement/instance/mod.rs
@@ -1,57 +1,57 @@
-//! One instance as the leader believes it to be: what it registered, corrected
-//! by the orders given since.
+//! State of one instance as seen by the leader: its last registration or report, updated by the
+//! orders sent since.
 
-mod copies;
+mod cached_weights;
 mod holdings;
 mod orders;
 
-pub use copies::LoadSource;
+pub use cached_weights::LoadSource;
 
 use super::OrderAction;
 use crate::configuration::Engine;
 use crate::instance::{InstanceState, InstanceView, Registration, ResidentModel, WeightCopies};
-use copies::Copies;
+use cached_weights::CachedWeights;
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp};
 use std::collections::BTreeMap;
 
-/// A registration may be so old when it arrives; what was ordered within this
-/// time is believed rather than the registration.
+/// Maximum age of a registration on arrival: orders within this time take precedence over the
+/// registration's content.
 const REGISTRATION_LAG: Millis = Millis(2_500);
-/// Routers that must have failed to reach an instance before it is doubted.
-const DOUBTING_ROUTERS: usize = 2;
+/// Number of routers that must have failed to reach an instance before it is suspected to be dead.
+const SUSPECT_ROUTERS: usize = 2;
 /// Time for which such a failure counts.
-const DOUBT_KEPT: Millis = Millis(4_000);
-/// Least silence of an instance that is doubted.
-const DOUBT_SILENCE: Millis = Millis(1_300);
-/// An instance that has no sign of life for so long may have been replaced.
-const ONE_BEAT: Millis = Millis(1_000);
+const UNREACHABLE_VALIDITY: Millis = Millis(4_000);
+/// Minimum silence of an instance that is suspected to be dead.
+const SUSPECT_SILENCE: Millis = Millis(1_300);
+/// An instance without a message for longer than this may have been replaced.
+const REPLACEABLE_SILENCE: Millis = Millis(1_000);
 
-/// What an instance answers when asked.
+/// Answer of an instance to a query.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct InstanceReport {
     /// Models held.
     pub models: Vec<ResidentModel>,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Orders taken.
+    /// Number of accepted orders.
     pub sequence: u64,
-    /// The Unix millisecond of its start, if it tells: another one than that of its identity
-    /// is another life's.
+    /// Start time of the instance in Unix milliseconds, if reported; if it differs from the start
+    /// time in the instance's id, the report is from another incarnation.
     pub started: Option<u64>,
-    /// Adapters being loaded, with their models.
+    /// Adapters that are being loaded, with their models.
     pub pending: Vec<(ModelName, String)>,
-    /// Weights that it can load without the weight store, if it tells.
+    /// Weights that the instance can load without the weight store, if reported.
     pub cached_weights: Option<WeightCopies>,
 }
 
 /// A model on the instance.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Held {
+pub(super) struct HeldModel {
     version: u64,
     adapters: BTreeMap<String, Adapter>,
     since: Timestamp,
-    /// How long its load took; zero if it was held from the start.
-    load_took: Millis,
+    /// Duration of its load; zero if it was already loaded when the instance was added.
+    load_duration: Millis,
     pub(super) unloading: bool,
 }
 
@@ -61,52 +61,52 @@
     used_at: Timestamp,
 }
 
-/// A model order under way.
+/// A load or unload of a model that the instance carries out.
 #[derive(Debug, Clone)]
-struct Work {
+struct RunningOrder {
     action: OrderAction,
-    began: Timestamp,
+    started_at: Timestamp,
     due: Timestamp,
-    /// Where a model's load takes the weights from.
+    /// Where a load takes the weights from; `None` for an unload.
     source: Option<LoadSource>,
 }
 
-/// A model's load that has ended.
+/// The completed load of a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct FinishedLoad {
     pub(super) model: ModelName,
     pub(super) source: LoadSource,
-    pub(super) took: Millis,
+    pub(super) duration: Millis,
 }
 
-/// See the module.
+/// State of one instance; see the module.
 #[derive(Debug)]
 pub struct Instance {
     registration: Registration,
     state: InstanceState,
-    heard_at: Timestamp,
-    held: BTreeMap<ModelName, Held>,
+    last_contact_at: Timestamp,
+    held: BTreeMap<ModelName, HeldModel>,
     sequence: Option<u64>,
-    ask_after: Timestamp,
-    /// Number that the last order carried, if that had no answer.
-    unanswered: Option<u64>,
-    asking: bool,
-    sent: Option<OrderAction>,
-    work: Option<Work>,
+    next_call_at: Timestamp,
+    /// Sequence number of the last order, if that order was not answered.
+    unanswered_sequence: Option<u64>,
+    query_in_flight: bool,
+    sent_order: Option<OrderAction>,
+    running: Option<RunningOrder>,
     changed_at: Option<Timestamp>,
-    met_at: Timestamp,
-    intent: Option<Intent>,
+    added_at: Timestamp,
+    reservation: Option<Reservation>,
     announced: BTreeMap<ModelName, Timestamp>,
-    copies: Copies,
-    /// The load that ended last, until it is taken note of.
-    finished: Option<FinishedLoad>,
-    /// Routers that could not reach it since its last sign of life.
-    not_reached: BTreeMap<String, Timestamp>,
+    cached: CachedWeights,
+    /// The last completed load, until it is taken by [`Self::take_finished_load`].
+    finished_load: Option<FinishedLoad>,
+    /// Routers that could not reach the instance since its last registration, and when.
+    unreachable_from: BTreeMap<String, Timestamp>,
 }
 
-/// A model that the instance is set aside for.
+/// Reservation of the instance for the load of a model.
 #[derive(Debug)]
-struct Intent {
+struct Reservation {
     model: ModelName,
     until: Timestamp,
     due: Timestamp,
@@ -116,27 +116,27 @@
     pub(super) fn new(registration: Registration, engine: Option<&Engine>, now: Timestamp) -> Self {
         let mut instance = Self {
             state: registration.state,
-            heard_at: now,
+            last_contact_at: now,
             held: BTreeMap::new(),
             sequence: None,
-            ask_after: now,
-            unanswered: None,
-            asking: false,
-            sent: None,
-            work: None,
+            next_call_at: now,
+            unanswered_sequence: None,
+            query_in_flight: false,
+            sent_order: None,
+            running: None,
             changed_at: None,
-            met_at: now,
-            intent: None,
+            added_at: now,
+            reservation: None,
             announced: BTreeMap::new(),
-            copies: Copies::default(),
-            finished: None,
-            not_reached: BTreeMap::new(),
+            cached: CachedWeights::default(),
+            finished_load: None,
+            unreachable_from: BTreeMap::new(),
             registration,
         };
         let models = instance.registration.models.clone();
-        instance.believe(&models, &[], now);
-        let told = &instance.registration.copies;
-        instance.copies.told(told, engine, now);
+        instance.replace_held(&models, &[], now);
+        let reported = &instance.registration.copies;
+        instance.cached.apply_report(reported, engine, now);
         instance
     }
 
@@ -157,30 +157,32 @@
     }
 
     pub(super) fn silent_for(&self, now: Timestamp) -> Millis {
-        now.since(self.heard_at)
+        now.since(self.last_contact_at)
     }
 
     /// Whether another instance may have taken its address meanwhile.
     pub(super) fn may_be_replaced(&self, now: Timestamp) -> bool {
-        self.silent_for(now) > ONE_BEAT
+        self.silent_for(now) > REPLACEABLE_SILENCE
     }
 
-    pub(super) fn not_reached_by(&mut self, router: &str, now: Timestamp) {
-        self.not_reached.insert(router.to_owned(), now);
+    pub(super) fn report_unreachable(&mut self, router: &str, now: Timestamp) {
+        self.unreachable_from.insert(router.to_owned(), now);
     }
 
-    /// Whether it is likely dead: silent for longer than a registration takes,
-    /// and not reached by several routers.
-    pub(super) fn is_doubtful(&self, now: Timestamp) -> bool {
-        let recent = self.not_reached.values();
-        let recent = recent.filter(|at| now.since(**at) < DOUBT_KEPT).count();
-        recent >= DOUBTING_ROUTERS && self.silent_for(now) >= DOUBT_SILENCE
+    /// Whether the instance is probably dead: silent for longer than a registration interval, and
+    /// unreachable for several routers.
+    pub(super) fn is_suspect(&self, now: Timestamp) -> bool {
+        let recent = self.unreachable_from.values();
+        let recent = recent
+            .filter(|at| now.since(**at) < UNREACHABLE_VALIDITY)
+            .count();
+        recent >= SUSPECT_ROUTERS && self.silent_for(now) >= SUSPECT_SILENCE
     }
 
     pub(super) fn leave(&mut self) -> bool {
-        let news = self.state != InstanceState::Leaving;
+        let is_changed = self.state != InstanceState::Leaving;
         self.state = InstanceState::Leaving;
-        news
+        is_changed
     }
 
     pub(super) fn register(
@@ -192,59 +194,59 @@
         if registration.sequence <= self.registration.sequence {
             return false;
         }
-        self.heard_at = now;
-        let before = self.view(now);
+        self.last_contact_at = now;
+        let previous = self.view(now);
         if registration.state == InstanceState::Leaving {
             self.leave();
         }
-        self.not_reached.clear();
+        self.unreachable_from.clear();
         self.registration = registration;
         self.reconcile(engine, now);
-        let told = &self.registration.copies;
-        self.copies.told(told, engine, now);
+        let reported = &self.registration.copies;
+        self.cached.apply_report(reported, engine, now);
         let after = self.view(now);
-        before != after
+        previous != after
     }
 
-    /// Compares what the instance says with what is believed.
+    /// Reconciles the instance's registration with the orders sent since.
     fn reconcile(&mut self, engine: Option<&Engine>, now: Timestamp) {
         let models = self.registration.models.clone();
-        if let Some(work) = &self.work {
-            let name = work.action.model();
-            let there = models.iter().any(|model| model.name == *name);
-            let done = work.action.loads() == there;
+        if let Some(running) = &self.running {
+            let name = running.action.model();
+            let is_held = models.iter().any(|model| model.name == *name);
+            let done = running.action.loads() == is_held;
             if done {
-                self.finish_work(engine, now);
+                self.finish_order(engine, now);
             }
         }
-        let settled = self.work.is_none() && self.sent.is_none();
+        let is_idle = self.running.is_none() && self.sent_order.is_none();
         let lag = self.changed_at.map(|at| now.since(at));
-        if settled && lag.is_none_or(|lag| lag >= REGISTRATION_LAG) {
-            self.believe(&models, &[], now);
+        if is_idle && lag.is_none_or(|lag| lag >= REGISTRATION_LAG) {
+            self.replace_held(&models, &[], now);
         }
     }
 
-    /// Takes over what the instance holds.
-    fn believe(
+    /// Replaces the models and adapters held by those that the instance reports.
+    fn replace_held(
         &mut self,
         models: &[ResidentModel],
         pending: &[(ModelName, String)],
         now: Timestamp,
     ) {
-        let mut before = std::mem::take(&mut self.held);
+        let mut previous = std::mem::take(&mut self.held);
         for model in models {
-            let mut held = before.remove(&model.name).unwrap_or(Held {
+            let mut held = previous.remove(&model.name).unwrap_or(HeldModel {
                 since: now,
-                ..Held::default()
+                ..HeldModel::default()
             });
             held.version = model.version;
-            let known = std::mem::take(&mut held.adapters);
+            let previous_adapters = std::mem::take(&mut held.adapters);
             for adapter in &model.adapters {
-                let adapter_before = known.get(adapter).copied().unwrap_or(Adapter {
+                let adapter_state = previous_adapters.get(adapter).copied().unwrap_or(Adapter {
                     ready_at: now,
                     used_at: now,
                 });
-                held.adapters.insert(adapter.clone(), adapter_before);
+                held.adapters.insert(adapter.clone(), adapter_state);
             }
             self.held.insert(model.name.clone(), held);
         }
@@ -269,12 +271,15 @@
                 adapters: ready.map(|(name, _)| name.clone()).collect(),
             }
         });
-        let work = self.work.as_ref().filter(|work| work.action.loads());
-        let work = work.map(|work| (work.action.model(), work.due));
-        let intent = self.intent.as_ref().map(|one| (&one.model, one.due));
+        let running = self
+            .running
+            .as_ref()
+            .filter(|running| running.action.loads());
+        let running = running.map(|running| (running.action.model(), running.due));
+        let reservation = self.reservation.as_ref().map(|one| (&one.model, one.due));
         let announced = self.announced.iter().map(|(model, due)| (model, *due));
-        let coming = work.into_iter().chain(intent).chain(announced);
-        let loading = coming.map(|(model, due)| (model.clone(), due.since(now)));
+        let pending_models = running.into_iter().chain(reservation).chain(announced);
+        let loading = pending_models.map(|(model, due)| (model.clone(), due.since(now)));
         InstanceView {
             id: self.registration.id.clone(),
             service: self.registration.service.clone(),
--- a/crates/services/src/placement/instance/orders.rs
+++ b/crates/services/src/placement/instance/orders.rs
@@ -1,64 +1,66 @@
-//! Orders to one instance: what was sent, what is under way, what the answers
-//! and reports say about it.
+//! Orders to one instance: those sent, those in progress, and the answers and reports about them.
 //!
-//! Invariant: an order is given only under a number that a report or an accepted
-//! order has confirmed, so that the instance refuses it when another came first.
+//! Invariant: an order is sent only with a sequence number that a report or an accepted order has
+//! confirmed, so that the instance refuses it if another order came first.
 
-use super::{Adapter, FinishedLoad, Instance, InstanceReport, Intent, LoadSource, Work};
+use super::{
+    Adapter, FinishedLoad, Instance, InstanceReport, LoadSource, Reservation, RunningOrder,
+};
 use crate::configuration::{Engine, ModelSpecification};
 use crate::instance::InstanceState;
 use crate::placement::{Order, OrderAction, OrderOutcome};
 use courseshunt_types::{Millis, ModelName, Timestamp};
 use std::collections::BTreeMap;
 
-/// A report is so old when it arrives.
+/// Maximum age of a report on arrival.
 const REPORT_LAG: Millis = Millis(700);
-/// Pause after a conflict before the instance is asked how it stands.
-const ASK_AFTER_CONFLICT: Millis = Millis(300);
-/// Pause after an order without an answer.
-const ASK_AFTER_UNKNOWN: Millis = Millis(150);
-/// Pause between questions while an order takes longer than expected.
-const ASK_AGAIN: Millis = Millis(400);
-/// Pause after an order that could not be sent.
-const RETRY_PAUSE: Millis = Millis(250);
-/// Pause after an order for which no connection could be made: a registration
-/// comes meanwhile if the instance lives.
-const UNREACHABLE_PAUSE: Millis = Millis(1_300);
-/// Name under which the leader's own tries count beside those of the routers.
+/// Delay of the query after a conflict.
+const QUERY_DELAY_AFTER_CONFLICT: Millis = Millis(300);
+/// Delay of the query after an order without an answer.
+const QUERY_DELAY_AFTER_UNKNOWN: Millis = Millis(150);
+/// Interval between queries while an order takes longer than expected.
+const QUERY_INTERVAL: Millis = Millis(400);
+/// Delay after an order that could not be sent.
+const RETRY_DELAY: Millis = Millis(250);
+/// Delay after an order for which no connection could be made: a live instance registers within
+/// this time.
+const UNREACHABLE_DELAY: Millis = Millis(1_300);
+/// Key of the leader's own failed connections among those of the routers.
 const LEADER: &str = "leader";
-/// Longest time that an instance stays set aside for a model.
-const INTENT_LIMIT: Millis = Millis(8_000);
-/// Time of an adapter's load besides the transfer.
+/// Maximum time for which an instance stays reserved for a model.
+const RESERVATION_LIMIT: Millis = Millis(8_000);
+/// Fixed part of an adapter's load time, besides the transfer.
 const ADAPTER_BASE_MS: f64 = 6.0;
-/// Time of an adapter's load for each MB.
+/// Transfer part of an adapter's load time, in milliseconds per MB.
 const ADAPTER_MS_PER_MB: f64 = 0.25;
-/// An instance is free about so soon when it has only to be asked or to answer.
-const SOON: Millis = Millis(100);
-/// Time of a load of a model that the configuration doesn't name.
-const UNKNOWN_LOAD_TIME: Millis = Millis(1_000);
-/// How much later than computed a load may end before the instance is asked.
-const LOAD_GRACE: Millis = Millis(150);
+/// Minimum estimate of the time until an instance can take an order, for one that only has to be
+/// queried or to answer.
+const MIN_WAIT: Millis = Millis(100);
+/// Assumed load time of a model that is not in the configuration.
+const DEFAULT_LOAD_TIME: Millis = Millis(1_000);
+/// Time by which a load may exceed its expected end before the instance is queried.
+const OVERDUE_MARGIN: Millis = Millis(150);
 
 impl Instance {
-    pub(super) fn finish_work(&mut self, engine: Option<&Engine>, now: Timestamp) {
-        let Some(work) = self.work.take() else {
+    pub(super) fn finish_order(&mut self, engine: Option<&Engine>, now: Timestamp) {
+        let Some(running) = self.running.take() else {
             return;
         };
-        let model = work.action.model().clone();
-        match work.action.loads() {
+        let model = running.action.model().clone();
+        match running.action.loads() {
             true => {
-                let took = now.since(work.began);
+                let duration = now.since(running.started_at);
                 if let Some(engine) = engine {
-                    self.copies.load_ended(&model, engine, now);
+                    self.cached.record_load_end(&model, engine, now);
                 }
-                self.finished = Some(FinishedLoad {
+                self.finished_load = Some(FinishedLoad {
                     model: model.clone(),
-                    source: work.source.unwrap_or(LoadSource::Store),
-                    took,
+                    source: running.source.unwrap_or(LoadSource::Store),
+                    duration,
                 });
                 let held = self.held.entry(model).or_default();
                 held.since = now;
-                held.load_took = took;
+                held.load_duration = duration;
                 held.unloading = false;
                 if held.version == 0 {
                     held.version = 1;
@@ -77,50 +79,49 @@
         engine: Option<&Engine>,
         now: Timestamp,
     ) {
-        self.asking = false;
+        self.query_in_flight = false;
         let Some(report) = report else {
-            self.ask_after = now + ASK_AGAIN;
+            self.next_call_at = now + QUERY_INTERVAL;
             return;
         };
-        self.heard_at = now;
-        let fresh = self
+        self.last_contact_at = now;
+        let is_current = self
             .changed_at
             .is_none_or(|changed| now.since(changed) >= REPORT_LAG);
-        if let Some(work) = &self.work {
-            let name = work.action.model();
-            let there = report.models.iter().any(|model| model.name == *name);
-            if there == work.action.loads() {
-                self.finish_work(engine, now);
-            } else if !report.busy && fresh {
-                self.work = None;
+        if let Some(running) = &self.running {
+            let name = running.action.model();
+            let is_held = report.models.iter().any(|model| model.name == *name);
+            if is_held == running.action.loads() {
+                self.finish_order(engine, now);
+            } else if !report.busy && is_current {
+                self.running = None;
                 for held in self.held.values_mut() {
                     held.unloading = false;
                 }
             }
         }
-        if !report.busy && !fresh && self.unanswered == Some(report.sequence) {
-            // It was not taken when the report was made: what is believed still
-            // holds, and an order under this number is refused if it has been
-            // taken since.
-            self.sequence = self.unanswered.take();
+        if !report.busy && !is_current && self.unanswered_sequence == Some(report.sequence) {
+            // The order had not been accepted when the report was made: the state before it still
+            // holds, and an order with this number is refused if it has been accepted since.
+            self.sequence = self.unanswered_sequence.take();
             return;
         }
-        if report.busy || !fresh {
-            self.ask_after = now + ASK_AGAIN;
+        if report.busy || !is_current {
+            self.next_call_at = now + QUERY_INTERVAL;
         }
-        if fresh && let Some(told) = &report.cached_weights {
-            self.copies.told(told, engine, now);
+        if is_current && let Some(reported) = &report.cached_weights {
+            self.cached.apply_report(reported, engine, now);
         }
-        if !report.busy && fresh {
-            self.unanswered = None;
+        if !report.busy && is_current {
+            self.unanswered_sequence = None;
             self.sequence = Some(report.sequence);
-            if self.sent.is_none() {
-                self.believe(&report.models, &report.pending, now);
+            if self.sent_order.is_none() {
+                self.replace_held(&report.models, &report.pending, now);
             }
         }
     }
 
-    /// Takes an outcome; returns whether a load surely did not start.
+    /// Applies the outcome of an order; returns whether the order was certainly not started.
     pub(in crate::placement) fn on_outcome(
         &mut self,
         order: &Order,
@@ -128,49 +129,49 @@
         engine: Option<&Engine>,
         now: Timestamp,
     ) -> bool {
-        self.sent = None;
+        self.sent_order = None;
         match outcome {
             OrderOutcome::Accepted => {
                 self.sequence = self.sequence.map(|sequence| sequence + 1);
-                self.accepted(&order.action, engine, now);
+                self.apply_accepted(&order.action, engine, now);
                 false
             }
             OrderOutcome::AlreadyDone => {
-                self.already_done(&order.action, now);
+                self.apply_already_done(&order.action, now);
                 true
             }
             OrderOutcome::Conflict | OrderOutcome::Refused => {
                 self.sequence = None;
-                self.ask_after = now + ASK_AFTER_CONFLICT;
+                self.next_call_at = now + QUERY_DELAY_AFTER_CONFLICT;
                 true
             }
             OrderOutcome::NotSent | OrderOutcome::OtherInstance => {
-                self.ask_after = now + RETRY_PAUSE;
+                self.next_call_at = now + RETRY_DELAY;
                 true
             }
             OrderOutcome::Unreachable => {
-                self.not_reached_by(LEADER, now);
-                self.intent = None;
-                self.ask_after = now + UNREACHABLE_PAUSE;
+                self.report_unreachable(LEADER, now);
+                self.reservation = None;
+                self.next_call_at = now + UNREACHABLE_DELAY;
                 true
             }
             OrderOutcome::Unknown => {
                 self.sequence = None;
-                self.unanswered = Some(order.expected_sequence);
+                self.unanswered_sequence = Some(order.expected_sequence);
                 self.changed_at = Some(now);
-                self.ask_after = now + ASK_AFTER_UNKNOWN;
+                self.next_call_at = now + QUERY_DELAY_AFTER_UNKNOWN;
                 false
             }
         }
     }
 
-    /// Notes that it asked for rest. A load that was meant for it may go elsewhere.
-    pub(in crate::placement) fn asked_rest(&mut self, rest: Millis, now: Timestamp) {
-        self.intent = None;
-        self.ask_after = self.ask_after.max(now.surely_after(rest));
+    /// Starts a backoff of the instance. A load that it was reserved for may go to another one.
+    pub(in crate::placement) fn start_backoff(&mut self, duration: Millis, now: Timestamp) {
+        self.reservation = None;
+        self.next_call_at = self.next_call_at.max(now.surely_after(duration));
     }
 
-    pub(super) fn accepted(
+    pub(super) fn apply_accepted(
         &mut self,
         action: &OrderAction,
         engine: Option<&Engine>,
@@ -180,69 +181,72 @@
         let specification = engine.and_then(|engine| engine.model(action.model().as_str()));
         match action {
             OrderAction::LoadModel(model) => {
-                let source = self.copies.source(model);
-                let time = specification.map_or(UNKNOWN_LOAD_TIME, |one| source.load_time(one));
+                let source = self.cached.source(model);
+                let load_time =
+                    specification.map_or(DEFAULT_LOAD_TIME, |one| source.load_time(one));
                 if let Some(engine) = engine {
-                    self.copies.load_began(model, engine);
+                    self.cached.record_load_start(model, engine);
                 }
-                self.work = Some(Work {
+                self.running = Some(RunningOrder {
                     action: action.clone(),
-                    began: now,
-                    due: now + time,
+                    started_at: now,
+                    due: now + load_time,
                     source: Some(source),
                 });
-                if self.intent() == Some(model) {
-                    self.intent = None;
+                if self.reserved_for() == Some(model) {
+                    self.reservation = None;
                 }
             }
             OrderAction::UnloadModel(model) => {
                 if let Some(held) = self.held.get_mut(model) {
                     held.unloading = true;
                 }
-                self.work = Some(Work {
+                self.running = Some(RunningOrder {
                     action: action.clone(),
-                    began: now,
+                    started_at: now,
                     due: now,
                     source: None,
                 });
             }
             OrderAction::LoadAdapter(model, adapter) => {
-                let size = specification.map_or(0.0, |one| one.adapter_mb);
-                let time = ADAPTER_BASE_MS + size * ADAPTER_MS_PER_MB;
+                let size_mb = specification.map_or(0.0, |one| one.adapter_mb);
+                let load_time = ADAPTER_BASE_MS + size_mb * ADAPTER_MS_PER_MB;
                 let entry = Adapter {
-                    ready_at: now + Millis(time as u64),
+                    ready_at: now + Millis(load_time as u64),
                     used_at: now,
                 };
                 if let Some(held) = self.held.get_mut(model) {
                     held.adapters.insert(adapter.clone(), entry);
                 }
             }
-            OrderAction::UnloadAdapter(model, adapter) => self.drop_adapter(model, adapter),
+            OrderAction::UnloadAdapter(model, adapter) => self.remove_adapter(model, adapter),
         }
     }
 
-    /// How long a load of the model takes here, when nothing stretches it.
+    /// Time of a load of the model on this instance at full speed.
     pub(in crate::placement) fn load_time(&self, one: &ModelSpecification) -> Millis {
-        self.copies.source(&one.name).load_time(one)
+        self.cached.source(&one.name).load_time(one)
     }
 
-    /// The load that has ended since the last call.
-    pub(in crate::placement) fn take_finished(&mut self) -> Option<FinishedLoad> {
-        self.finished.take()
+    /// Takes the load that has ended since the last call.
+    pub(in crate::placement) fn take_finished_load(&mut self) -> Option<FinishedLoad> {
+        self.finished_load.take()
     }
 
-    /// Whether a load from the weight store may be under way.
+    /// Whether a load from the weight store may be in progress.
     pub(in crate::placement) fn may_load_from_store(&self) -> bool {
-        let work = self.work.as_ref().and_then(|work| work.source);
-        self.sent.is_some() || self.unanswered.is_some() || work == Some(LoadSource::Store)
+        let running = self.running.as_ref().and_then(|running| running.source);
+        self.sent_order.is_some()
+            || self.unanswered_sequence.is_some()
+            || running == Some(LoadSource::Store)
     }
 
-    pub(super) fn already_done(&mut self, action: &OrderAction, now: Timestamp) {
+    pub(super) fn apply_already_done(&mut self, action: &OrderAction, now: Timestamp) {
         match action {
             OrderAction::LoadModel(model) => {
                 let held = self.held.entry(model.clone()).or_default();
                 held.unloading = false;
-                self.intent = None;
+                self.reservation = None;
             }
             OrderAction::UnloadModel(model) => {
                 self.held.remove(model);
@@ -258,7 +262,7 @@
             }
             OrderAction::UnloadAdapter(model, adapter) => {
                 self.sequence = self.sequence.map(|sequence| sequence + 1);
-                self.drop_adapter(model, adapter);
+                self.remove_adapter(model, adapter);
             }
         }
         self.changed_at = Some(now);
@@ -266,105 +270,109 @@
 
     /// The model that is being loaded.
     pub(in crate::placement) fn loading(&self) -> Option<&ModelName> {
-        let work = self.work.as_ref()?;
-        work.action.loads().then(|| work.action.model())
+        let running = self.running.as_ref()?;
+        running.action.loads().then(|| running.action.model())
     }
 
-    /// The model that the instance is set aside for.
-    pub(in crate::placement) fn intent(&self) -> Option<&ModelName> {
-        self.intent.as_ref().map(|intent| &intent.model)
+    /// The model that the instance is reserved for.
+    pub(in crate::placement) fn reserved_for(&self) -> Option<&ModelName> {
+        self.reservation
+            .as_ref()
+            .map(|reservation| &reservation.model)
     }
 
-    /// Sets the instance aside for a model that is expected there at `due`.
-    /// Time until the model is there that it is set aside for.
-    pub(in crate::placement) fn intent_after(&self, now: Timestamp) -> Millis {
-        let intent = self.intent.as_ref();
-        intent.map_or(Millis(0), |intent| intent.due.since(now).max(SOON))
+    /// Time until the load that the instance is reserved for is expected to end.
+    pub(in crate::placement) fn reserved_model_due_in(&self, now: Timestamp) -> Millis {
+        let reservation = self.reservation.as_ref();
+        reservation.map_or(Millis(0), |reservation| {
+            reservation.due.since(now).max(MIN_WAIT)
+        })
     }
 
-    pub(in crate::placement) fn set_intent(
+    /// Reserves the instance for a model that is expected to be loaded at `due`.
+    pub(in crate::placement) fn reserve_for(
         &mut self,
         model: &ModelName,
         due: Timestamp,
         now: Timestamp,
     ) {
-        self.intent = Some(Intent {
+        self.reservation = Some(Reservation {
             model: model.clone(),
-            until: now + INTENT_LIMIT,
+            until: now + RESERVATION_LIMIT,
             due,
         });
     }
 
-    /// Time since it was met or took an order.
-    pub(in crate::placement) fn rested_for(&self, now: Timestamp) -> Millis {
-        now.since(self.changed_at.unwrap_or(self.met_at))
+    /// Time since the last order, or since the instance was added.
+    pub(in crate::placement) fn idle_for(&self, now: Timestamp) -> Millis {
+        now.since(self.changed_at.unwrap_or(self.added_at))
     }
 
-    /// Time until an order may be given; `None` for an instance that leaves.
-    pub(in crate::placement) fn free_after(&self, now: Timestamp) -> Option<Millis> {
-        if self.is_free(now) {
+    /// Time until an order may be sent; `None` for a leaving instance.
+    pub(in crate::placement) fn available_after(&self, now: Timestamp) -> Option<Millis> {
+        if self.can_take_order(now) {
             return Some(Millis(0));
         }
         if self.state != InstanceState::Ready {
             return None;
         }
-        let free_after = match &self.work {
-            None => SOON,
-            Some(work) => work.due.since(now).max(SOON),
+        let available_after = match &self.running {
+            None => MIN_WAIT,
+            Some(running) => running.due.since(now).max(MIN_WAIT),
         };
-        Some(free_after)
+        Some(available_after)
     }
 
-    /// Models that wait for the weight store without a place, with the times at
-    /// which they are expected: told to routers along with this instance.
+    /// Models that are queued for the weight store without a load target, with the times at which
+    /// they are expected; sent to routers in the view of this instance.
     pub(in crate::placement) fn announced(&self) -> &BTreeMap<ModelName, Timestamp> {
         &self.announced
     }
 
-    /// Takes these over; returns whether they have changed.
+    /// Replaces these announcements; returns whether they have changed.
     pub(in crate::placement) fn announce(&mut self, due: BTreeMap<ModelName, Timestamp>) -> bool {
         let changed = self.announced != due;
         self.announced = due;
         changed
     }
 
-    pub(in crate::placement) fn drop_old_intent(&mut self, now: Timestamp) {
-        if self.intent.as_ref().is_some_and(|one| one.until < now) {
-            self.intent = None;
+    pub(in crate::placement) fn expire_reservation(&mut self, now: Timestamp) {
+        if self.reservation.as_ref().is_some_and(|one| one.until < now) {
+            self.reservation = None;
         }
     }
 
-    pub(in crate::placement) fn clear_intent(&mut self) {
-        self.intent = None;
+    pub(in crate::placement) fn clear_reservation(&mut self) {
+        self.reservation = None;
     }
 
-    /// Whether an order may be given now (once its number is known).
-    pub(in crate::placement) fn is_free(&self, now: Timestamp) -> bool {
+    /// Whether an order may be sent now, once its sequence number is known.
+    pub(in crate::placement) fn can_take_order(&self, now: Timestamp) -> bool {
         self.state == InstanceState::Ready
-            && self.sent.is_none()
-            && self.work.is_none()
-            && !self.asking
-            && now >= self.ask_after
+            && self.sent_order.is_none()
+            && self.running.is_none()
+            && !self.query_in_flight
+            && now >= self.next_call_at
     }
 
-    /// Whether the end of an order is overdue and should be asked for.
+    /// Whether the end of an order is overdue and the instance should be queried.
     pub(in crate::placement) fn is_overdue(&self, now: Timestamp) -> bool {
         let overdue = self
-            .work
+            .running
             .as_ref()
-            .is_some_and(|work| now >= work.due + LOAD_GRACE);
-        overdue && !self.asking && now >= self.ask_after
+            .is_some_and(|running| now >= running.due + OVERDUE_MARGIN);
+        overdue && !self.query_in_flight && now >= self.next_call_at
     }
 
     pub(in crate::placement) fn sequence(&self) -> Option<u64> {
         self.sequence
     }
 
-    pub(in crate::placement) fn start_asking(&mut self) {
-        self.asking = true;
+    pub(in crate::placement) fn start_query(&mut self) {
+        self.query_in_flight = true;
     }
 
     pub(in crate::placement) fn start_order(&mut self, action: OrderAction) {
-        self.sent = Some(action);
+        self.sent_order = Some(action);
     }
 }
--- a/crates/services/src/placement/instances.rs
+++ b/crates/services/src/placement/instances.rs
@@ -1,18 +1,18 @@
-//! The instances that the leader believes in, found by identity, by address, and by the
-//! moment at which an adapter of theirs becomes ready.
+//! The instances of the leader, indexed by id, by address, and by the time at which an adapter of
+//! theirs becomes ready.
 //!
-//! Invariant: both indexes follow each change of an address or of adapters; such changes
-//! go through [`InstanceTable::update`]. An entry for a moment may be out of date, it is
-//! then dropped when its moment comes.
+//! Invariant: both secondary indexes follow each change of an address or of adapters; such changes
+//! go through [`InstanceTable::update`]. An entry of the index by time may be outdated; it is
+//! dropped when its time comes.
 //!
-//! Cost: logarithmic in the fleet for a look-up, a change, and the next ready adapter, so
-//! that a new leader takes 10,000 recorded instances over in time proportional to them.
+//! Cost: logarithmic in the number of instances for a look-up, a change, and the next ready
+//! adapter, so that a new leader takes over 10,000 recorded instances in linear time.
 
 use super::instance::Instance;
 use courseshunt_types::{RunnerId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// See the module.
+/// Table of instances; see the module.
 #[derive(Debug, Default)]
 pub(super) struct InstanceTable {
     by_id: BTreeMap<RunnerId, Instance>,
@@ -33,7 +33,7 @@
         self.by_id.values()
     }
 
-    /// For changes that touch neither addresses nor adapters.
+    /// Must not change addresses or adapters.
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut Instance> {
         self.by_id.values_mut()
     }
@@ -46,7 +46,7 @@
         self.by_id.get(id)
     }
 
-    /// For a change that touches neither the address nor adapters.
+    /// Must not change the address or adapters.
     pub(super) fn get_mut(&mut self, id: &RunnerId) -> Option<&mut Instance> {
         self.by_id.get_mut(id)
     }
@@ -60,18 +60,19 @@
     pub(super) fn insert(&mut self, instance: Instance, now: Timestamp) {
         let id = instance.id().clone();
         self.remove(&id);
-        self.list_address(instance.address().to_owned(), id.clone());
-        self.list_ready(&instance, now);
+        self.index_address(instance.address().to_owned(), id.clone());
+        self.index_ready(&instance, now);
         self.by_id.insert(id, instance);
     }
 
     pub(super) fn remove(&mut self, id: &RunnerId) {
         if let Some(instance) = self.by_id.remove(id) {
-            self.unlist_address(instance.address(), id);
+            self.unindex_address(instance.address(), id);
         }
     }
 
-    /// Changes an instance in any way; `None` when it is not known.
+    /// Applies any change to an instance and updates the indexes; `None` if there is no such
+    /// instance.
     pub(super) fn update<T>(
         &mut self,
         id: &RunnerId,
@@ -81,12 +82,12 @@
         let instance = self.by_id.get_mut(id)?;
         let before = instance.address().to_owned();
         let changed = change(instance);
-        let moved = instance.address() != before;
+        let address_changed = instance.address() != before;
         let after = instance.address().to_owned();
-        let ready_at = instance.next_ready(now);
-        if moved {
-            self.unlist_address(&before, id);
-            self.list_address(after, id.clone());
+        let ready_at = instance.next_adapter_ready(now);
+        if address_changed {
+            self.unindex_address(&before, id);
+            self.index_address(after, id.clone());
         }
         if let Some(at) = ready_at {
             self.becoming_ready.insert((at, id.clone()));
@@ -94,7 +95,7 @@
         Some(changed)
     }
 
-    /// The next moment at which an adapter becomes ready, or may.
+    /// Earliest time at which an adapter may become ready.
     pub(super) fn next_ready(&self) -> Option<Timestamp> {
         self.becoming_ready.first().map(|(at, _)| *at)
     }
@@ -107,7 +108,11 @@
                 self.becoming_ready.insert((at, id));
                 break;
             }
-            if let Some(next) = self.by_id.get(&id).and_then(|one| one.next_ready(now)) {
+            if let Some(next) = self
+                .by_id
+                .get(&id)
+                .and_then(|one| one.next_adapter_ready(now))
+            {
                 self.becoming_ready.insert((next, id.clone()));
             }
             ready.push(id);
@@ -116,17 +121,17 @@
         ready
     }
 
-    fn list_ready(&mut self, instance: &Instance, now: Timestamp) {
-        if let Some(at) = instance.next_ready(now) {
+    fn index_ready(&mut self, instance: &Instance, now: Timestamp) {
+        if let Some(at) = instance.next_adapter_ready(now) {
             self.becoming_ready.insert((at, instance.id().clone()));
         }
     }
 
-    fn list_address(&mut self, address: String, id: RunnerId) {
+    fn index_address(&mut self, address: String, id: RunnerId) {
         self.by_address.entry(address).or_default().insert(id);
     }
 
-    fn unlist_address(&mut self, address: &str, id: &RunnerId) {
+    fn unindex_address(&mut self, address: &str, id: &RunnerId) {
         if let Some(ids) = self.by_address.get_mut(address) {
             ids.remove(id);
             if ids.is_empty() {
--- a/crates/services/src/placement/mod.rs
+++ b/crates/services/src/placement/mod.rs
@@ -1,29 +1,27 @@
-//! Decides which instances hold which models and adapters, and follows what
-//! becomes of the orders.
+//! Decides which instances hold which models and adapters, and tracks the outcomes of the orders.
 //!
-//! Invariants: one order at a time is under way to an instance, each carries
-//! the number of orders that the instance is known to have taken; an instance
-//! is never ordered to hold more than its memory and adapter places allow,
-//! counting orders whose outcome is unknown; loads from the weight store keep
-//! the store's ceiling.
+//! Invariants: at most one order at a time is in flight to an instance, and each order carries the
+//! number of orders that the instance is known to have accepted; an instance is never ordered to
+//! hold more than its memory and adapter slots allow, counting orders whose outcome is unknown;
+//! loads from the weight store stay within the store's rate limit.
 
 mod adapters;
 mod candidates;
 mod demand;
 mod event;
 mod evictions;
+mod incarnations;
 mod instance;
 mod instances;
-mod lives;
+mod load_targets;
 mod order;
 mod outcomes;
-mod places;
 mod planning;
 mod round;
 mod store;
 mod usage;
-mod waited;
-mod worth;
+mod value;
+mod waiting;
 
 pub use event::{InstanceReservation, LoadEnd, PlacementEvent};
 pub use instance::{InstanceReport, LoadSource};
@@ -34,23 +32,23 @@
 use crate::relay::RelayedRegistration;
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp};
 use demand::DemandTable;
+use incarnations::{Incarnation, IncarnationTable};
 use instance::Instance;
 use instances::InstanceTable;
-use lives::{Life, Lives};
 use round::Round;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use store::WeightStore;
 use usage::UsageTable;
 
-/// Settings of the engine.
+/// Settings of the [`PlacementEngine`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlacementSettings {
-    /// An instance that was silent for so long is taken for dead.
+    /// An instance without a registration or report for longer than this is treated as dead.
     pub silence_limit: Millis,
-    /// Span over which the weight store's ceiling is judged.
+    /// Window over which the rate limit of loads from the weight store applies.
     pub ceiling_window: Millis,
-    /// Part of an instance's reading speed that one copy of a model may use.
+    /// Fraction of an instance's prompt throughput that one replica of a model may use.
     pub replica_utilisation: f64,
 }
 
@@ -64,87 +62,88 @@
     }
 }
 
-/// See the module.
+/// State of the placement on the leader; see the module.
 #[derive(Debug)]
 pub struct PlacementEngine {
     settings: PlacementSettings,
     configuration: Arc<ServiceConfiguration>,
     instances: InstanceTable,
-    lives: Lives,
-    departed: BTreeMap<RunnerId, Timestamp>,
-    /// Instances that were dropped for their silence, and when.
-    fell_silent: BTreeMap<RunnerId, Timestamp>,
-    /// Instances that said that they leave; late registrations may say otherwise.
+    incarnations: IncarnationTable,
+    terminated: BTreeMap<RunnerId, Timestamp>,
+    /// Instances that were removed after a silence, and when.
+    timed_out: BTreeMap<RunnerId, Timestamp>,
+    /// Instances that announced that they leave; a delayed registration may still report them as
+    /// ready.
     leaving: BTreeSet<RunnerId>,
-    /// Requests a second that instances take which name a limit.
+    /// Rate limit in requests per second, for the instances that have sent one.
     limits: BTreeMap<RunnerId, f64>,
     demand: DemandTable,
     /// When the first demand was reported.
     demand_since: Option<Timestamp>,
     usage: UsageTable,
-    /// Adapters that were asked for since the last round.
-    asked_adapters: BTreeMap<(ModelName, String), Timestamp>,
-    /// What the round rests on that is under way.
+    /// Adapters that were requested since the last round, with the time of the report.
+    requested_adapters: BTreeMap<(ModelName, String), Timestamp>,
+    /// Snapshot of the round in progress.
     round: Arc<Round>,
-    /// What the last round of each service rested on, with what was ordered since.
-    rounds: BTreeMap<String, Arc<Round>>,
-    /// Instances that were set aside for a model; some may be so no more.
-    set_aside: BTreeSet<RunnerId>,
-    /// Whether requests were told to wait, or an instance that is set aside took a step,
-    /// since the last round of any kind.
-    waits: bool,
-    /// By service.
+    /// Snapshot of the last round of each service, updated with the orders since.
+    last_rounds: BTreeMap<String, Arc<Round>>,
+    /// Instances that were reserved for a model; some reservations may have ended.
+    reserved: BTreeSet<RunnerId>,
+    /// Whether waiting requests were reported, or a reserved instance changed its state, since the
+    /// last round of any kind.
+    waiting_round_needed: bool,
+    /// Weight stores by service.
     stores: BTreeMap<String, WeightStore>,
     events: Vec<PlacementEvent>,
-    /// When instances were last looked at for their silence.
-    expired_at: Timestamp,
-    /// Steps of which no outcome is known yet.
-    calls: usize,
+    /// When silent instances were last removed.
+    last_expiry: Timestamp,
+    /// Calls to instances, of which no outcome is known yet.
+    calls_in_flight: usize,
     changed: BTreeSet<RunnerId>,
     gone: Vec<RunnerId>,
 }
 
-/// How long an instance that left is remembered, so that a late registration
-/// doesn't bring it back.
-const DEPARTED_KEPT: Millis = Millis(30_000);
+/// How long an instance that left is remembered, so that a delayed registration does not bring it
+/// back.
+const REMOVED_RETENTION: Millis = Millis(30_000);
 
-/// Time between looks at the silence of all instances: a small part of the silence that
-/// counts, which is several registrations long.
+/// Minimum time between two searches for silent instances: a small fraction of the silence that
+/// counts, which spans several registrations.
 const EXPIRY_INTERVAL: Millis = Millis(100);
 
 impl PlacementEngine {
-    /// An engine that knows nothing yet.
+    /// Creates an engine without a configuration and without instances.
     #[must_use]
     pub fn new(settings: PlacementSettings) -> Self {
         Self {
             settings,
             configuration: Arc::default(),
             instances: InstanceTable::default(),
-            lives: Lives::default(),
-            departed: BTreeMap::new(),
-            fell_silent: BTreeMap::new(),
+            incarnations: IncarnationTable::default(),
+            terminated: BTreeMap::new(),
+            timed_out: BTreeMap::new(),
             leaving: BTreeSet::new(),
             limits: BTreeMap::new(),
             demand: DemandTable::default(),
             demand_since: None,
             usage: UsageTable::default(),
-            asked_adapters: BTreeMap::new(),
+            requested_adapters: BTreeMap::new(),
             round: Arc::default(),
-            rounds: BTreeMap::new(),
-            set_aside: BTreeSet::new(),
-            waits: false,
+            last_rounds: BTreeMap::new(),
+            reserved: BTreeSet::new(),
+            waiting_round_needed: false,
             stores: BTreeMap::new(),
             events: Vec::new(),
-            expired_at: Timestamp::default(),
-            calls: 0,
+            last_expiry: Timestamp::default(),
+            calls_in_flight: 0,
             changed: BTreeSet::new(),
             gone: Vec::new(),
         }
     }
 
-    /// Takes a newer configuration over.
+    /// Applies a newer configuration.
     pub fn configure(&mut self, configuration: Arc<ServiceConfiguration>, now: Timestamp) {
-        self.rounds.clear();
+        self.last_rounds.clear();
         for service in &configuration.services {
             let Some(engine) = &service.engine else {
                 continue;
@@ -159,49 +158,51 @@
         self.configuration = configuration;
     }
 
-    /// Takes a registration; returns whether it was news.
+    /// Applies a registration; returns whether it changed anything.
     pub fn register(&mut self, mut registration: Registration, now: Timestamp) -> bool {
         let id = registration.id.clone();
-        match self.lives.note(&id) {
-            Life::Earlier => return false,
-            Life::Begins { ended: Some(ended) } => self.mark_terminated(&ended, now),
-            Life::Begins { ended: None } | Life::Newest => {}
+        match self.incarnations.observe(&id) {
+            Incarnation::Earlier => return false,
+            Incarnation::New {
+                previous: Some(previous),
+            } => self.mark_terminated(&previous, now),
+            Incarnation::New { previous: None } | Incarnation::Current => {}
         }
         if self.leaving.contains(&id) {
             registration.state = InstanceState::Leaving;
         }
-        if self.departed.contains_key(&id) || self.is_outdated(&registration, now) {
+        if self.terminated.contains_key(&id) || self.is_delayed_registration(&registration, now) {
             return false;
         }
         let configuration = self.configuration.clone();
         let engine = configuration.engine(&registration.service);
-        let news = match self.instances.contains(&id) {
+        let is_changed = match self.instances.contains(&id) {
             true => {
                 let register = |one: &mut Instance| one.register(registration, engine, now);
                 self.instances.update(&id, now, register) == Some(true)
             }
             false => {
-                self.drop_reused_address(&registration, now);
-                self.fell_silent.remove(&id);
+                self.remove_replaced_instances(&registration, now);
+                self.timed_out.remove(&id);
                 let instance = Instance::new(registration, engine, now);
                 self.instances.insert(instance, now);
                 true
             }
         };
-        self.waits |= news && self.set_aside.contains(&id);
-        self.note_finished_load(&id, now);
-        if news {
+        self.waiting_round_needed |= is_changed && self.reserved.contains(&id);
+        self.record_finished_load(&id, now);
+        if is_changed {
             self.changed.insert(id);
         }
-        news
+        is_changed
     }
 
-    /// Takes a registration that another controller took; returns whether it was
-    /// news.
+    /// Applies a registration that another controller received; returns whether it changed
+    /// anything.
     ///
     /// # Errors
-    /// The instance, when it repeats a registration that is not the last one
-    /// known here.
+    /// The instance, when the message repeats a registration that is not the last one received
+    /// here.
     pub fn register_relayed(
         &mut self,
         relayed: RelayedRegistration,
@@ -213,12 +214,12 @@
                 id,
                 sequence,
                 repeats,
-            } => match self.repeated(&id, repeats) {
-                Some(known) => Registration {
+            } => match self.registration_with_sequence(&id, repeats) {
+                Some(last) => Registration {
                     sequence,
-                    ..known.clone()
+                    ..last.clone()
                 },
-                None if self.departed.contains_key(&id) => return Ok(false),
+                None if self.terminated.contains_key(&id) => return Ok(false),
                 None => return Err(id),
             },
         };
@@ -228,17 +229,17 @@
         Ok(self.register(registration, now))
     }
 
-    /// The last registration of an instance, if it has this number.
-    fn repeated(&self, id: &RunnerId, sequence: u64) -> Option<&Registration> {
-        let known = self.instances.get(id).map(Instance::registration);
-        known.filter(|known| known.sequence == sequence)
+    /// The last registration of an instance, if it has this sequence number.
+    fn registration_with_sequence(&self, id: &RunnerId, sequence: u64) -> Option<&Registration> {
+        let last = self.instances.get(id).map(Instance::registration);
+        last.filter(|last| last.sequence == sequence)
     }
 
-    /// Takes over what an earlier leader recorded of an instance; one that is
-    /// known already stays as it is.
+    /// Adds an instance that an earlier leader recorded; an instance that is already present is
+    /// left unchanged.
     pub fn seed(&mut self, view: &InstanceView, now: Timestamp) {
-        let known = self.instances.contains(&view.id);
-        if known || self.leaving.contains(&view.id) || view.state == InstanceState::Leaving {
+        let is_present = self.instances.contains(&view.id);
+        if is_present || self.leaving.contains(&view.id) || view.state == InstanceState::Leaving {
             return;
         }
         let registration = Registration {
@@ -256,34 +257,35 @@
         self.register(registration, now);
     }
 
-    /// An address belongs to the instance that registered it last.
-    fn drop_reused_address(&mut self, registration: &Registration, now: Timestamp) {
-        let same = self.instances.at_address(&registration.address);
-        let replaced = same.filter(|one| one.may_be_replaced(now));
+    /// Removes silent instances at the address of a new registration: an address belongs to the
+    /// instance that registered it last.
+    fn remove_replaced_instances(&mut self, registration: &Registration, now: Timestamp) {
+        let occupants = self.instances.at_address(&registration.address);
+        let replaced = occupants.filter(|one| one.may_be_replaced(now));
         let replaced: Vec<RunnerId> = replaced.map(|one| one.id().clone()).collect();
         for id in replaced {
-            self.fall_silent(id, now);
+            self.time_out(id, now);
         }
     }
 
-    /// Drops an instance that is not heard any more.
-    fn fall_silent(&mut self, id: RunnerId, now: Timestamp) {
+    /// Removes an instance that has been silent for too long.
+    fn time_out(&mut self, id: RunnerId, now: Timestamp) {
         self.remove(&id);
-        self.fell_silent.insert(id, now);
+        self.timed_out.insert(id, now);
     }
 
-    /// Whether a registration was held up on its way: its sender fell silent, and another
-    /// instance is heard at its address. It is left out only as long as that one is
-    /// heard, since either of the two may be the one that was held up.
-    fn is_outdated(&self, registration: &Registration, now: Timestamp) -> bool {
+    /// Whether a registration was delayed on its way: its sender was removed for its silence, and
+    /// another instance is active at its address. The registration is ignored only while the other
+    /// instance is active, since either of the two may be the one that was delayed.
+    fn is_delayed_registration(&self, registration: &Registration, now: Timestamp) -> bool {
         let mut others = self.instances.at_address(&registration.address);
-        self.fell_silent.contains_key(&registration.id)
+        self.timed_out.contains_key(&registration.id)
             && others.any(|other| !other.may_be_replaced(now))
     }
 
-    /// Notes that an instance takes no more work.
+    /// Marks an instance as leaving: it takes no more work.
     pub fn mark_leaving(&mut self, id: &RunnerId) {
-        let id = &self.lives.newest(id).clone();
+        let id = &self.incarnations.newest(id).clone();
         self.leaving.insert(id.clone());
         match self.instances.get_mut(id) {
             Some(instance) => {
@@ -291,73 +293,77 @@
                     self.changed.insert(id.clone());
                 }
             }
-            // Routers may know it from an earlier leader.
+            // Routers may have the instance from an earlier leader.
             None => self.gone.push(id.clone()),
         }
     }
 
-    /// Notes that an instance said in an answer that it takes no more work; returns whether
-    /// that is news. It is not committed: who heard it tells the next leader again.
+    /// Marks an instance as leaving that announced this in an answer; returns whether it was ready
+    /// before. This is not committed to the log: the process that received the answer reports it to
+    /// the next leader again.
     pub fn mark_leaving_if_ready(&mut self, id: &RunnerId) -> bool {
         let instance = self.instances.get(id);
-        let is_news = instance.is_some_and(|one| one.state() == InstanceState::Ready);
-        if is_news {
+        let was_ready = instance.is_some_and(|one| one.state() == InstanceState::Ready);
+        if was_ready {
             self.mark_leaving(id);
         }
-        is_news
+        was_ready
     }
 
-    /// Takes over which instances name a limit, in requests a second from all routers.
+    /// Replaces the rate limits of instances, in requests per second summed over all routers.
     pub fn set_limits(&mut self, limits: BTreeMap<RunnerId, f64>) {
         self.limits = limits;
     }
 
-    /// Notes that an instance asked for rest: it is neither asked nor ordered anything.
-    pub fn start_backoff(&mut self, id: &RunnerId, rest: Millis, now: Timestamp) {
+    /// Starts the backoff that an instance asked for: until it ends, the instance gets no queries
+    /// and no orders.
+    pub fn start_backoff(&mut self, id: &RunnerId, duration: Millis, now: Timestamp) {
         if let Some(instance) = self.instances.get_mut(id) {
-            instance.asked_rest(rest, now);
+            instance.start_backoff(duration, now);
         }
     }
 
-    /// Notes that an instance has ended, or is about to.
+    /// Removes an instance that has terminated or is about to.
     pub fn mark_terminated(&mut self, id: &RunnerId, now: Timestamp) {
-        let id = &self.lives.newest(id).clone();
-        self.departed.insert(id.clone(), now);
+        let id = &self.incarnations.newest(id).clone();
+        self.terminated.insert(id.clone(), now);
         self.leaving.insert(id.clone());
         self.remove(id);
     }
 
-    /// Drops an instance; routers may know it also where this leader doesn't.
+    /// Removes an instance. Routers are notified even when this leader does not have it, since they
+    /// may have it from an earlier leader.
     fn remove(&mut self, id: &RunnerId) {
         self.instances.remove(id);
         self.changed.remove(id);
         self.gone.push(id.clone());
     }
 
-    /// Drops instances that fell silent; looks at all of them a few times a second at the
-    /// most, however often it is called.
+    /// Removes instances that are silent for too long. The search over all instances runs at most a
+    /// few times per second, however often this is called.
     pub fn expire(&mut self, now: Timestamp) {
-        if now.since(self.expired_at) < EXPIRY_INTERVAL {
+        if now.since(self.last_expiry) < EXPIRY_INTERVAL {
             return;
         }
-        self.expired_at = now;
-        self.departed.retain(|_, at| now.since(*at) < DEPARTED_KEPT);
+        self.last_expiry = now;
+        self.terminated
+            .retain(|_, at| now.since(*at) < REMOVED_RETENTION);
         let limit = self.settings.silence_limit;
         let silent = self.instances.values();
         let silent = silent.filter(|instance| instance.silent_for(now) > limit);
         let silent: Vec<RunnerId> = silent.map(|one| one.id().clone()).collect();
         for id in silent {
-            self.fall_silent(id, now);
+            self.time_out(id, now);
         }
-        self.fell_silent
-            .retain(|_, at| now.since(*at) < DEPARTED_KEPT);
-        let (instances, departed, silent) = (&self.instances, &self.departed, &self.fell_silent);
-        self.lives.retain(|id| {
-            instances.contains(id) || departed.contains_key(id) || silent.contains_key(id)
+        self.timed_out
+            .retain(|_, at| now.since(*at) < REMOVED_RETENTION);
+        let (instances, terminated, silent) = (&self.instances, &self.terminated, &self.timed_out);
+        self.incarnations.retain(|id| {
+            instances.contains(id) || terminated.contains_key(id) || silent.contains_key(id)
         });
     }
 
-    /// Takes a router's report.
+    /// Applies a router's report of its usage and demand.
     pub fn report_usage(
         &mut self,
         router: &str,
@@ -370,9 +376,10 @@
                 continue;
             };
             let model = ModelName::from(one.model.as_str());
-            self.asked_adapters.insert((model, adapter.clone()), now);
+            self.requested_adapters
+                .insert((model, adapter.clone()), now);
         }
-        self.waits |= demand.iter().any(|one| one.waiting > 0);
+        self.waiting_round_needed |= demand.iter().any(|one| one.waiting > 0);
         if self.demand_since.is_none() && !demand.is_empty() {
             self.demand_since = Some(now);
         }
@@ -380,35 +387,35 @@
         self.demand.record(router, demand, now);
     }
 
-    /// Notes that a router could not reach instances.
+    /// Records that a router could not connect to instances.
     pub fn report_unreachable(&mut self, router: &str, instances: &[RunnerId], now: Timestamp) {
         for id in instances {
             if let Some(instance) = self.instances.get_mut(id) {
-                instance.not_reached_by(router, now);
+                instance.report_unreachable(router, now);
             }
         }
     }
 
-    /// Forgets a router that is gone.
+    /// Removes the usage and demand of a router that is gone.
     pub fn remove_router(&mut self, router: &str) {
-        self.usage.forget(router);
-        self.demand.forget(router);
+        self.usage.remove(router);
+        self.demand.remove(router);
     }
 
-    /// Usage summed over all routers.
+    /// Usage per instance, summed over all routers.
     #[must_use]
     pub fn total_usage(&self) -> Vec<crate::feed::InstanceUsage> {
-        self.usage.all()
+        self.usage.totals()
     }
 
-    /// Views of all instances.
+    /// Current views of all instances.
     #[must_use]
     pub fn views(&self, now: Timestamp) -> Vec<InstanceView> {
         let instances = self.instances.values();
         instances.map(|instance| instance.view(now)).collect()
     }
 
-    /// Views that changed since the last call, and instances that are gone.
+    /// Views that changed since the last call, and the instances that were removed.
     pub fn take_changes(&mut self, now: Timestamp) -> (Vec<InstanceView>, Vec<RunnerId>) {
         let changed = std::mem::take(&mut self.changed);
         let changed = changed.iter().filter_map(|id| self.instances.get(id));
@@ -416,25 +423,25 @@
         (views, std::mem::take(&mut self.gone))
     }
 
-    /// Whether an instance is known.
+    /// Whether the engine has this instance.
     #[must_use]
     pub fn contains(&self, id: &RunnerId) -> bool {
         self.instances.contains(id)
     }
 
-    /// All instances that are known.
+    /// The ids of all instances.
     #[must_use]
     pub fn ids(&self) -> Vec<RunnerId> {
         self.instances.ids().cloned().collect()
     }
 
-    /// Instances that are known.
+    /// Number of instances.
     #[must_use]
     pub fn count(&self) -> usize {
         self.instances.len()
     }
 
-    /// Whether the instance with this identity takes work.
+    /// Whether an instance exists and takes work.
     #[must_use]
     pub fn is_ready(&self, id: &RunnerId) -> bool {
         let instance = self.instances.get(id);
--- a/crates/services/src/placement/order.rs
+++ b/crates/services/src/placement/order.rs
@@ -1,23 +1,23 @@
-//! What the engine wants done at instances: orders and questions, and what may become of
-//! them.
+//! Orders and queries that the engine wants to be sent to instances, and the possible outcomes of
+//! an order.
 
 use courseshunt_types::{ModelName, RunnerId};
 
-/// What an instance is told to do.
+/// The change that an order asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderAction {
     /// Load a model.
     LoadModel(ModelName),
-    /// Unload a model with its adapters.
+    /// Unload a model and its adapters.
     UnloadModel(ModelName),
     /// Load an adapter of a model that is held.
     LoadAdapter(ModelName, String),
-    /// Unload an adapter.
+    /// Unload an adapter of a model that is held.
     UnloadAdapter(ModelName, String),
 }
 
 impl OrderAction {
-    /// The model.
+    /// The model that is loaded or unloaded, or whose adapter is.
     #[must_use]
     pub fn model(&self) -> &ModelName {
         match self {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The adapter, if the order is about one.
+    /// The adapter, if the order concerns one.
     #[must_use]
     pub fn adapter(&self) -> Option<&str> {
         match self {
@@ -37,76 +37,77 @@
         }
     }
 
-    /// Whether something is to be loaded.
+    /// Whether the order is a load rather than an unload.
     #[must_use]
     pub fn loads(&self) -> bool {
         matches!(self, Self::LoadModel(_) | Self::LoadAdapter(..))
     }
 }
 
-/// One order.
+/// An order to an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// The instance.
+    /// Id of the instance.
     pub instance: RunnerId,
-    /// Its address.
+    /// Address of the instance.
     pub address: String,
-    /// What to do.
+    /// The change to make.
     pub action: OrderAction,
-    /// Orders that the instance has taken so far.
+    /// Number of orders that the instance has accepted so far; it refuses the order if the number
+    /// differs.
     pub expected_sequence: u64,
-    /// Whether it counts as a load from the weight store.
+    /// Whether the order counts as a load from the weight store.
     pub from_store: bool,
-    /// What the decision rests on.
+    /// State that the decision is based on, for records.
     pub rationale: OrderRationale,
 }
 
-/// What the decision to give an order rests on.
+/// State that the decision to send an order is based on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrderRationale {
-    /// Copies of the model, those on their way included.
+    /// Replicas of the model, including those that are being loaded.
     pub replicas: usize,
-    /// Copies that the demand needs.
+    /// Replicas that the demand needs.
     pub desired: usize,
-    /// Requests for the model in a thousand seconds.
+    /// Requests for the model per 1,000 seconds.
     pub rate_per_1000_s: u64,
     /// Whether requests wait for the model.
     pub has_waiting_requests: bool,
-    /// Loads from the weight store under way.
+    /// Loads from the weight store in flight.
     pub store_loads: usize,
 }
 
-/// What the engine wants done.
+/// A call to an instance that the engine wants to be made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacementStep {
-    /// Ask an instance how it stands.
+    /// Query an instance for its report.
     QueryInstance {
-        /// The instance.
+        /// Id of the instance.
         instance: RunnerId,
-        /// Its address.
+        /// Address of the instance.
         address: String,
     },
-    /// Give an order.
+    /// Send an order.
     SendOrder(Order),
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is being done.
+    /// The instance accepted the order and carries it out.
     Accepted,
-    /// It holds already.
+    /// The requested state holds already.
     AlreadyDone,
-    /// Another is under way, or the number of orders differs.
+    /// Another order is in progress, or the number of accepted orders differs.
     Conflict,
     /// The address belongs to another instance.
     OtherInstance,
-    /// It surely was not sent.
+    /// The order was certainly not sent.
     NotSent,
-    /// The instance could not be connected to.
+    /// No connection to the instance could be made.
     Unreachable,
-    /// There was no answer: it may be carried out yet.
+    /// There was no answer: the order may still be carried out.
     Unknown,
-    /// The instance refuses it.
+    /// The instance refused the order.
     Refused,
 }
--- a/crates/services/src/placement/outcomes.rs
+++ b/crates/services/src/placement/outcomes.rs
@@ -1,4 +1,4 @@
-//! What instances answer to orders and questions.
+//! Applies the answers of instances to orders and queries.
 
 use super::PlacementEngine;
 use super::event::{LoadEnd, PlacementEvent};
@@ -7,13 +7,13 @@
 use courseshunt_types::{RunnerId, Timestamp};
 
 impl PlacementEngine {
-    /// Takes an instance's report.
+    /// Applies the answer to a query; `None` if there was no usable answer.
     pub fn on_report(&mut self, id: &RunnerId, report: Option<InstanceReport>, now: Timestamp) {
-        self.calls = self.calls.saturating_sub(1);
+        self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
         let configuration = self.configuration.clone();
-        let other_life =
+        let is_other_incarnation =
             |report: &InstanceReport| report.started.is_some() && report.started != id.started();
-        let report = report.filter(|report| !other_life(report));
+        let report = report.filter(|report| !is_other_incarnation(report));
         let reported = self.instances.update(id, now, |instance| {
             let engine = configuration.engine(&instance.registration().service);
             instance.on_report(report, engine, now);
@@ -21,39 +21,39 @@
         if reported.is_none() {
             return;
         }
-        self.waits |= self.set_aside.contains(id);
-        self.note_finished_load(id, now);
+        self.waiting_round_needed |= self.reserved.contains(id);
+        self.record_finished_load(id, now);
         self.changed.insert(id.clone());
     }
 
-    /// Takes note of a load that an instance has just ended.
-    pub(super) fn note_finished_load(&mut self, id: &RunnerId, now: Timestamp) {
+    /// Records the load that an instance has just finished, if any.
+    pub(super) fn record_finished_load(&mut self, id: &RunnerId, now: Timestamp) {
         let Some(instance) = self.instances.get_mut(id) else {
             return;
         };
-        let Some(finished) = instance.take_finished() else {
+        let Some(finished) = instance.take_finished_load() else {
             return;
         };
         let store = self.stores.get_mut(&instance.registration().service);
-        let (store_loads, store_limit) = store.map_or((0.0, 0), |store| store.ended(id, now));
+        let (store_loads, store_limit) = store.map_or((0.0, 0), |store| store.finish(id, now));
         self.events.push(PlacementEvent::LoadEnded(LoadEnd {
             instance: id.clone(),
             model: finished.model,
             source: finished.source,
-            duration: finished.took,
+            duration: finished.duration,
             store_loads,
             store_limit,
         }));
     }
 
-    /// What has happened since the last call, for records.
+    /// Events since the last call, for records.
     pub fn take_events(&mut self) -> Vec<PlacementEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Takes the outcome of an order.
+    /// Applies the outcome of an order.
     pub fn on_outcome(&mut self, order: &Order, outcome: OrderOutcome, now: Timestamp) {
-        self.calls = self.calls.saturating_sub(1);
+        self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
         if outcome == OrderOutcome::OtherInstance {
             self.remove(&order.instance);
             return;
@@ -63,15 +63,15 @@
         };
         let service = instance.registration().service.clone();
         let engine = self.configuration.engine(&service);
-        let ended = self.instances.update(&order.instance, now, |instance| {
+        let cancelled = self.instances.update(&order.instance, now, |instance| {
             instance.on_outcome(order, outcome, engine, now)
         });
-        let never_started = ended == Some(true);
-        let counted = order.from_store && never_started;
-        if counted && let Some(store) = self.stores.get_mut(&service) {
-            store.not_begun(&order.instance, now);
+        let is_cancelled = cancelled == Some(true);
+        let counts_for_store = order.from_store && is_cancelled;
+        if counts_for_store && let Some(store) = self.stores.get_mut(&service) {
+            store.cancel(&order.instance, now);
         }
-        self.waits |= self.set_aside.contains(&order.instance);
+        self.waiting_round_needed |= self.reserved.contains(&order.instance);
         self.changed.insert(order.instance.clone());
     }
 }
--- a/crates/services/src/placement/planning.rs
+++ b/crates/services/src/placement/planning.rs
@@ -1,7 +1,7 @@
-//! The decisions: which orders to give now.
+//! Plans the rounds: decides which orders to send now.
 
 use super::candidates::Candidate;
-use super::demand::Wanted;
+use super::demand::WaitingRequests;
 use super::instance::{Instance, LoadSource};
 use super::round::Round;
 use super::store::WeightStore;
@@ -14,297 +14,310 @@
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp};
 use std::sync::Arc;
 
-/// Demand is followed for so long before copies count as surplus.
+/// Demand must have been reported for this time before replicas count as surplus.
 const DEMAND_WARM_UP: Millis = Millis(6_000);
-/// Waiting models and adapters that one round looks at.
-pub(super) const WANTED_IN_ROUND: usize = 32;
+/// Maximum number of waiting models and adapters that one round handles.
+pub(super) const MAX_WAITING_PER_ROUND: usize = 32;
 
-/// Calls to instances, orders and questions alike, that are under way at once at the most:
-/// a new leader has something to ask of each instance of the fleet, and as many connections
-/// at once would take its descriptors and all its processor time. About as many as can be
-/// made until the next round; that round continues with what is worth most.
-const MOST_CALLS: usize = 256;
-/// The part of them that may be for what nobody asks for yet, so that a model that
-/// requests wait for finds room.
-const MOST_UNASKED_CALLS: usize = MOST_CALLS / 2;
+/// Maximum number of concurrent calls to instances, orders and queries alike. A new leader has a
+/// call to make to each instance of the fleet; that many connections at once would exhaust its file
+/// descriptors and its processor time. This is about as many calls as can be made until the next
+/// round, which continues with the most valuable ones.
+const MAX_CALLS: usize = 256;
+/// Part of these calls that may be used for models without requests, so that a model that requests
+/// wait for always finds capacity.
+const MAX_BACKGROUND_CALLS: usize = MAX_CALLS / 2;
 
 /// The service that a round plans for.
-pub(super) struct Planned<'a> {
+pub(super) struct PlanContext<'a> {
     pub(super) service: &'a str,
     pub(super) engine: &'a Engine,
     pub(super) now: Timestamp,
 }
 
-impl Planned<'_> {
-    /// Whether an instance of the service may be counted on and given orders.
-    fn may_use(&self, instance: &Instance) -> bool {
-        may_use(instance, self.service, self.now)
+impl PlanContext<'_> {
+    /// Whether an instance belongs to the service and may be sent orders.
+    fn is_usable(&self, instance: &Instance) -> bool {
+        is_usable(instance, self.service, self.now)
     }
 }
 
-fn may_use(instance: &Instance, service: &str, now: Timestamp) -> bool {
+fn is_usable(instance: &Instance, service: &str, now: Timestamp) -> bool {
     instance.registration().service == service
         && instance.state() == InstanceState::Ready
-        && !instance.is_doubtful(now)
+        && !instance.is_suspect(now)
 }
 
 impl PlacementEngine {
-    /// What to do now.
+    /// Plans a full round over all services; returns the calls to make now.
     pub fn plan(&mut self, now: Timestamp) -> Vec<PlacementStep> {
         let mut steps = Vec::new();
-        self.waits = false;
-        let asked = std::mem::take(&mut self.asked_adapters);
-        if !asked.is_empty() {
+        self.waiting_round_needed = false;
+        let requested = std::mem::take(&mut self.requested_adapters);
+        if !requested.is_empty() {
             for instance in self.instances.values_mut() {
-                instance.touch_adapters(&asked);
+                instance.record_adapter_requests(&requested);
             }
         }
-        self.ask_overdue(now, &mut steps);
+        self.query_overdue(now, &mut steps);
         let configuration = self.configuration.clone();
         for service in &configuration.services {
             if let Some(engine) = &service.engine {
-                let planned = Planned {
+                let context = PlanContext {
                     service: &service.name,
                     engine,
                     now,
                 };
-                self.plan_service(&planned, &mut steps);
+                self.plan_service(&context, &mut steps);
             }
         }
         steps
     }
 
-    /// The next moment at which a view changes by itself.
+    /// Earliest time at which an adapter becomes ready and thereby changes a view.
     #[must_use]
     pub fn next_adapter_ready(&self) -> Option<Timestamp> {
         self.instances.next_ready()
     }
 
-    /// Marks the instances of which an adapter became ready since the last call.
+    /// Marks the instances as changed of which an adapter became ready since the last call.
     pub fn mark_adapters_ready(&mut self, now: Timestamp) {
         let ready = self.instances.take_ready(now);
         self.changed.extend(ready);
     }
 
-    fn ask_overdue(&mut self, now: Timestamp, steps: &mut Vec<PlacementStep>) {
-        let mut room = MOST_CALLS.saturating_sub(self.calls);
+    fn query_overdue(&mut self, now: Timestamp, steps: &mut Vec<PlacementStep>) {
+        let mut remaining = MAX_CALLS.saturating_sub(self.calls_in_flight);
         for instance in self.instances.values_mut() {
-            instance.drop_old_intent(now);
-            if room > 0 && instance.is_overdue(now) {
-                steps.push(ask(instance));
-                self.calls += 1;
-                room -= 1;
+            instance.expire_reservation(now);
+            if remaining > 0 && instance.is_overdue(now) {
+                steps.push(query(instance));
+                self.calls_in_flight += 1;
+                remaining -= 1;
             }
         }
     }
 
     /// Whether one more call to an instance may be made now.
-    fn may_call(&self) -> bool {
-        self.calls < MOST_CALLS
+    fn has_call_capacity(&self) -> bool {
+        self.calls_in_flight < MAX_CALLS
     }
 
-    /// Whether a call that nobody waits for may be made now.
-    pub(super) fn may_call_unasked(&self) -> bool {
-        self.calls < MOST_UNASKED_CALLS
+    /// Whether a call may be made now that no request waits for.
+    pub(super) fn has_background_call_capacity(&self) -> bool {
+        self.calls_in_flight < MAX_BACKGROUND_CALLS
     }
 
-    /// Whether demand was followed for long enough to tell what is surplus.
-    pub(super) fn knows_demand(&self, now: Timestamp) -> bool {
+    /// Whether demand has been reported for long enough to identify surplus replicas.
+    pub(super) fn has_demand_history(&self, now: Timestamp) -> bool {
         let since = self.demand_since;
         since.is_some_and(|since| now.since(since) >= DEMAND_WARM_UP)
     }
 
-    pub(super) fn of_service<'a>(
+    pub(super) fn usable_instances<'a>(
         &'a self,
         service: &'a str,
         now: Timestamp,
     ) -> impl Iterator<Item = &'a Instance> + 'a {
         let instances = self.instances.values();
-        instances.filter(move |one| may_use(one, service, now))
+        instances.filter(move |one| is_usable(one, service, now))
     }
 
-    fn plan_service(&mut self, planned: &Planned<'_>, steps: &mut Vec<PlacementStep>) {
-        let wanted = self.demand.wanted(planned.service, planned.now);
-        let round = Round::new(self, planned.service, planned.engine, &wanted, planned.now);
+    fn plan_service(&mut self, context: &PlanContext<'_>, steps: &mut Vec<PlacementStep>) {
+        let waiting = self.demand.waiting(context.service, context.now);
+        let round = Round::new(self, context.service, context.engine, &waiting, context.now);
         self.round = Arc::new(round);
-        self.follow_store(planned);
-        self.follow_intents(planned, steps);
-        for one in wanted.iter().take(WANTED_IN_ROUND) {
-            self.serve_adapter(one, planned, steps);
+        self.sync_store(context);
+        self.advance_reservations(context, steps);
+        for one in waiting.iter().take(MAX_WAITING_PER_ROUND) {
+            self.load_waiting_adapter(one, context, steps);
         }
-        self.load_candidates(&wanted, planned, steps);
-        self.fill_adapters(planned, steps);
-        self.keep_round(planned);
+        self.load_candidates(&waiting, context, steps);
+        self.fill_adapter_slots(context, steps);
+        self.save_round(context);
     }
 
-    /// Keeps what this round rested on for [`Self::plan_waited`].
-    pub(super) fn keep_round(&mut self, planned: &Planned<'_>) {
+    /// Keeps the snapshot of this round for [`Self::plan_for_waiting`].
+    pub(super) fn save_round(&mut self, context: &PlanContext<'_>) {
         let round = std::mem::take(&mut self.round);
-        self.rounds.insert(planned.service.to_owned(), round);
+        self.last_rounds.insert(context.service.to_owned(), round);
     }
 
-    pub(super) fn change_round(&mut self, change: impl FnOnce(&mut Round)) {
+    pub(super) fn update_round(&mut self, change: impl FnOnce(&mut Round)) {
         change(Arc::make_mut(&mut self.round));
     }
 
-    /// Goes on with evictions that make room for a model, and with loads that
-    /// wait for the weight store: what is worth most first. Copies that are
-    /// needed no longer are given up.
-    pub(super) fn follow_intents(&mut self, planned: &Planned<'_>, steps: &mut Vec<PlacementStep>) {
+    /// Continues the evictions that make room for a model and the loads that are queued for the
+    /// weight store, in descending order of value. Reservations for replicas that are no longer
+    /// needed are dropped.
+    pub(super) fn advance_reservations(
+        &mut self,
+        context: &PlanContext<'_>,
+        steps: &mut Vec<PlacementStep>,
+    ) {
         let instances = &self.instances;
-        self.set_aside.retain(|id| {
+        self.reserved.retain(|id| {
             let instance = instances.get(id);
-            instance.is_some_and(|one| one.intent().is_some())
+            instance.is_some_and(|one| one.reserved_for().is_some())
         });
-        let set_aside = self
-            .set_aside
-            .iter()
-            .filter_map(|id| self.instances.get(id));
-        let set_aside = set_aside.filter(|one| planned.may_use(one));
-        let set_aside = set_aside.filter_map(|one| {
-            let model = one.intent()?;
-            let worth = self.round.load_worth(model);
-            one.is_free(planned.now)
-                .then(|| (worth, one.id().clone(), model.clone()))
+        let reserved = self.reserved.iter().filter_map(|id| self.instances.get(id));
+        let reserved = reserved.filter(|one| context.is_usable(one));
+        let reserved = reserved.filter_map(|one| {
+            let model = one.reserved_for()?;
+            let value = self.round.load_value(model);
+            one.can_take_order(context.now)
+                .then(|| (value, one.id().clone(), model.clone()))
         });
-        let mut set_aside: Vec<(f64, RunnerId, ModelName)> = set_aside.collect();
-        set_aside.sort_by(|left, right| right.0.total_cmp(&left.0));
-        for (worth, instance, model) in set_aside {
-            if worth > 0.0 {
-                self.go_on(&instance, &model, planned, steps);
+        let mut reserved: Vec<(f64, RunnerId, ModelName)> = reserved.collect();
+        reserved.sort_by(|left, right| right.0.total_cmp(&left.0));
+        for (value, instance, model) in reserved {
+            if value > 0.0 {
+                self.advance_load(&instance, &model, context, steps);
             } else {
-                self.drop_intent(&instance);
-                self.change_round(|round| round.remove_copy(&model, &instance));
+                self.clear_reservation(&instance);
+                self.update_round(|round| round.remove_replica(&model, &instance));
             }
         }
     }
 
-    /// The next order on the way to `model` at `instance`.
-    fn go_on(
+    /// Sends the next order towards the load of `model` on the instance.
+    fn advance_load(
         &mut self,
         id: &RunnerId,
         model: &ModelName,
-        planned: &Planned<'_>,
+        context: &PlanContext<'_>,
         steps: &mut Vec<PlacementStep>,
     ) {
-        let Some(specification) = planned.engine.model(model.as_str()) else {
+        let Some(specification) = context.engine.model(model.as_str()) else {
             return;
         };
         let Some(instance) = self.instances.get(id) else {
             return;
         };
-        if instance.has(model) {
-            self.drop_intent(id);
+        if instance.holds(model) {
+            self.clear_reservation(id);
             return;
         }
-        if instance.source(model) == LoadSource::Store && !self.reserve_store(id, model, planned) {
-            self.drop_intent(id);
-            self.change_round(|round| round.remove_copy(model, id));
+        if instance.load_source(model) == LoadSource::Store
+            && !self.reserve_store(id, model, context)
+        {
+            self.clear_reservation(id);
+            self.update_round(|round| round.remove_replica(model, id));
             return;
         }
         let Some(instance) = self.instances.get(id) else {
             return;
         };
-        if fits(instance, specification, planned.engine) {
-            self.load_model(id, model, planned, steps);
+        if fits(instance, specification, context.engine) {
+            self.load_model(id, model, context, steps);
             return;
         }
         let mut victims = Vec::new();
-        let evictions = self.evictions(planned);
-        let loss = self.evict(instance, specification, &evictions, planned, &mut victims);
-        let victim = loss.and_then(|_| victims.first());
+        let evictions = self.evictions(context);
+        let cost = self.plan_evictions(instance, specification, &evictions, context, &mut victims);
+        let victim = cost.and_then(|_| victims.first());
         match victim.map(|victim| victim.model.clone()) {
             Some(victim) => {
                 let action = OrderAction::UnloadModel(victim.clone());
-                if self.give(id, action, steps) {
-                    self.change_round(|round| round.remove_copy(&victim, id));
+                if self.send_order(id, action, steps) {
+                    self.update_round(|round| round.remove_replica(&victim, id));
                 }
             }
-            None => self.drop_intent(id),
+            None => self.clear_reservation(id),
         }
     }
 
-    /// Forgets reservations and loads at the weight store of instances that have
-    /// none.
-    fn follow_store(&mut self, planned: &Planned<'_>) {
-        let Some(store) = self.stores.get_mut(planned.service) else {
+    /// Drops reservations at the weight store of instances that are not reserved for a load, and
+    /// loads of instances that no longer load from the store.
+    fn sync_store(&mut self, context: &PlanContext<'_>) {
+        let Some(store) = self.stores.get_mut(context.service) else {
             return;
         };
         let instances = &self.instances;
-        let reserves = |id: &RunnerId| instances.get(id).is_some_and(|one| one.intent().is_some());
-        let loads = |id: &RunnerId| instances.get(id).is_some_and(Instance::may_load_from_store);
-        store.retain(reserves, loads, planned.now);
+        let is_reserved = |id: &RunnerId| {
+            instances
+                .get(id)
+                .is_some_and(|one| one.reserved_for().is_some())
+        };
+        let loads_from_store =
+            |id: &RunnerId| instances.get(id).is_some_and(Instance::may_load_from_store);
+        store.retain(is_reserved, loads_from_store, context.now);
     }
 
-    fn drop_intent(&mut self, id: &RunnerId) {
+    fn clear_reservation(&mut self, id: &RunnerId) {
         if let Some(instance) = self.instances.get_mut(id) {
-            instance.clear_intent();
+            instance.clear_reservation();
         }
     }
 
-    /// Whether a load from the weight store may begin at an instance.
-    fn reserve_store(&mut self, id: &RunnerId, model: &ModelName, planned: &Planned<'_>) -> bool {
-        let spare = self.is_spare(model);
-        let store = self.stores.get_mut(planned.service);
-        store.is_some_and(|store| store.reserve(id, spare, planned.now))
+    /// Reserves a load from the weight store for an instance; returns whether the load may start.
+    fn reserve_store(
+        &mut self,
+        id: &RunnerId,
+        model: &ModelName,
+        context: &PlanContext<'_>,
+    ) -> bool {
+        let background = self.is_background_load(model);
+        let store = self.stores.get_mut(context.service);
+        store.is_some_and(|store| store.reserve(id, background, context.now))
     }
 
-    /// Whether a load of the model is one that nobody waits for.
-    fn is_spare(&self, model: &ModelName) -> bool {
-        !self.round.facts(model).waited_for && self.round.count(model) <= 1
+    /// Whether no request waits for the model and this load would be its first replica.
+    fn is_background_load(&self, model: &ModelName) -> bool {
+        !self.round.state(model).has_waiting_requests && self.round.replica_count(model) <= 1
     }
 
     fn load_model(
         &mut self,
         id: &RunnerId,
         model: &ModelName,
-        planned: &Planned<'_>,
+        context: &PlanContext<'_>,
         steps: &mut Vec<PlacementStep>,
     ) {
-        if !self.may_call() {
+        if !self.has_call_capacity() {
             return;
         }
         let Some(instance) = self.instances.get(id) else {
             return;
         };
-        let from_store = instance.source(model) == LoadSource::Store;
+        let from_store = instance.load_source(model) == LoadSource::Store;
         if from_store && instance.sequence().is_some() {
-            let time = planned.engine.model(model.as_str());
-            let time = time.map_or(Millis(0), |one| one.load_time);
-            let store = self.stores.get_mut(planned.service);
-            if !store.is_some_and(|store| store.begin(id, time, planned.now)) {
+            let load_time = context.engine.model(model.as_str());
+            let load_time = load_time.map_or(Millis(0), |one| one.load_time);
+            let store = self.stores.get_mut(context.service);
+            if !store.is_some_and(|store| store.begin(id, load_time, context.now)) {
                 return;
             }
         }
-        let given = self.give(id, OrderAction::LoadModel(model.clone()), steps);
-        if given && let Some(PlacementStep::SendOrder(order)) = steps.last_mut() {
+        let is_sent = self.send_order(id, OrderAction::LoadModel(model.clone()), steps);
+        if is_sent && let Some(PlacementStep::SendOrder(order)) = steps.last_mut() {
             order.from_store = from_store;
         }
     }
 
-    /// Gives an order, or asks for the number that it has to carry; returns
-    /// whether the order is given.
-    pub(super) fn give(
+    /// Sends an order, or queries the instance for the sequence number that the order must carry;
+    /// returns whether the order is sent.
+    pub(super) fn send_order(
         &mut self,
         id: &RunnerId,
         action: OrderAction,
         steps: &mut Vec<PlacementStep>,
     ) -> bool {
-        if !self.may_call() {
+        if !self.has_call_capacity() {
             return false;
         }
         let Some(instance) = self.instances.get(id) else {
             return false;
         };
         let service = &instance.registration().service;
-        let store_loads = self.stores.get(service).map_or(0, WeightStore::under_way);
+        let store_loads = self.stores.get(service).map_or(0, WeightStore::in_flight);
         let rationale = self.rationale(action.model(), store_loads);
         let Some(instance) = self.instances.get_mut(id) else {
             return false;
         };
-        self.calls += 1;
+        self.calls_in_flight += 1;
         let Some(expected_sequence) = instance.sequence() else {
-            steps.push(ask(instance));
+            steps.push(query(instance));
             return false;
         };
         instance.start_order(action.clone());
@@ -320,74 +333,74 @@
     }
 
     fn rationale(&self, model: &ModelName, store_loads: usize) -> OrderRationale {
-        let facts = self.round.facts(model);
+        let state = self.round.state(model);
         OrderRationale {
-            replicas: self.round.count(model),
-            desired: facts.desired,
-            rate_per_1000_s: (facts.demand.fast * 1000.0) as u64,
-            has_waiting_requests: facts.waited_for,
+            replicas: self.round.replica_count(model),
+            desired: state.desired,
+            rate_per_1000_s: (state.demand.fast * 1000.0) as u64,
+            has_waiting_requests: state.has_waiting_requests,
             store_loads,
         }
     }
 
-    /// Loads the adapter that requests wait for whose model is there.
-    pub(super) fn serve_adapter(
+    /// Loads an adapter that requests wait for if its model is loaded.
+    pub(super) fn load_waiting_adapter(
         &mut self,
-        wanted: &Wanted,
-        planned: &Planned<'_>,
+        waiting: &WaitingRequests,
+        context: &PlanContext<'_>,
         steps: &mut Vec<PlacementStep>,
     ) {
-        let model = ModelName::from(wanted.key.model.as_str());
-        if let Some(adapter) = &wanted.adapter
-            && self.round.count(&model) > 0
+        let model = ModelName::from(waiting.key.model.as_str());
+        if let Some(adapter) = &waiting.adapter
+            && self.round.replica_count(&model) > 0
         {
-            self.add_adapter(&model, adapter, planned, steps);
+            self.add_adapter(&model, adapter, context, steps);
         }
     }
 
-    /// Adds a copy of a model where that costs least, if it evicts less than
-    /// it is worth; from the weight store only when it `has_turn` there. Where
-    /// another model goes first at the best place, nothing is done yet; returns
-    /// the time until this one would be there.
-    pub(super) fn add_copy(
+    /// Adds a replica of a model on the load target of least cost, if the evictions there cost less
+    /// than the replica's value; from the weight store only with `store_has_room`. If the best
+    /// target is reserved for another model, nothing is ordered yet; returns the time until this
+    /// model would be loaded there.
+    pub(super) fn add_replica(
         &mut self,
         specification: &ModelSpecification,
         candidate: &Candidate,
-        has_turn: bool,
-        planned: &Planned<'_>,
+        store_has_room: bool,
+        context: &PlanContext<'_>,
         steps: &mut Vec<PlacementStep>,
     ) -> Option<Millis> {
-        let place = self.best_place(specification, candidate.worth, has_turn, planned);
-        let (id, place) = place?;
-        if place.is_taken {
-            return Some(place.ready_after);
+        let target = self.best_target(specification, candidate.value, store_has_room, context);
+        let (id, target) = target?;
+        if target.is_reserved {
+            return Some(target.ready_after);
         }
         let model = &specification.name;
         let mut displaced = None;
         if let Some(instance) = self.instances.get_mut(&id) {
-            displaced = instance.intent().cloned();
-            instance.set_intent(model, planned.now + place.ready_after, planned.now);
+            displaced = instance.reserved_for().cloned();
+            instance.reserve_for(model, context.now + target.ready_after, context.now);
         }
-        self.set_aside.insert(id.clone());
-        self.change_round(|round| {
+        self.reserved.insert(id.clone());
+        self.update_round(|round| {
             if let Some(displaced) = &displaced {
-                round.remove_copy(displaced, &id);
+                round.remove_replica(displaced, &id);
             }
-            round.add_copy(model, &id);
+            round.add_replica(model, &id);
         });
         self.events
             .push(PlacementEvent::InstanceReserved(InstanceReservation {
                 instance: id.clone(),
                 model: model.clone(),
-                source: place.source,
-                ready_after: place.ready_after,
-                cost: place.cost,
-                waiting: self.round.facts(model).waiting,
+                source: target.source,
+                ready_after: target.ready_after,
+                cost: target.cost,
+                waiting: self.round.state(model).waiting,
                 displaced,
             }));
         self.changed.insert(id.clone());
-        if place.is_free {
-            self.go_on(&id, model, planned, steps);
+        if target.can_take_order {
+            self.advance_load(&id, model, context, steps);
         }
         None
     }
@@ -398,11 +411,11 @@
     specification: &ModelSpecification,
     engine: &Engine,
 ) -> bool {
-    instance.memory_mb(engine) + specification.memory_mb <= engine.memory_mb
+    instance.committed_memory_mb(engine) + specification.memory_mb <= engine.memory_mb
 }
 
-fn ask(instance: &mut Instance) -> PlacementStep {
-    instance.start_asking();
+fn query(instance: &mut Instance) -> PlacementStep {
+    instance.start_query();
     PlacementStep::QueryInstance {
         instance: instance.id().clone(),
         address: instance.address().to_owned(),
--- a/crates/services/src/placement/round.rs
+++ b/crates/services/src/placement/round.rs
@@ -1,94 +1,95 @@
-//! What one round of planning rests on, computed once: where copies and
-//! adapters are, how soon each model could be brought back, and what its copies
-//! are worth.
+//! Snapshot that one planning round is based on, computed once: the locations of replicas and
+//! adapters, how soon each model could be reloaded, and the value of its replicas.
 //!
 //! Cost: proportional to the instances and to the models of the service.
 
 use super::PlacementEngine;
-use super::demand::{DemandSummary, Wanted};
-use super::evictions::Evictable;
-use super::worth::{loss_of_absence, loss_of_one_of};
+use super::demand::{DemandSummary, WaitingRequests};
+use super::evictions::EvictionEffect;
+use super::value::{absence_cost, missing_replica_cost};
 use crate::configuration::{Engine, ModelSpecification};
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Prompt tokens that an instance reads in a second.
-const READ_PER_SECOND: f64 = 38_000.0;
+/// Prompt tokens that an instance processes per second.
+const PROMPT_TOKENS_PER_SECOND: f64 = 38_000.0;
 /// Tokens that one request costs besides its prompt: its share of a batch.
 const TOKENS_PER_REQUEST: f64 = 500.0;
-/// Copies beyond the first are added only above this rate, in requests a second.
-const RATE_FOR_COPIES: f64 = 0.6;
-/// A copy is surplus when the others would stay below this part of the
-/// utilisation at which one is added.
-const KEEP_PART: f64 = 0.6;
-/// Part of a model's answers that may be late before it gets another copy.
-const LATE_PART: f64 = 0.35;
-/// Value of a copy that is not needed.
-const SURPLUS_VALUE: f64 = 0.001;
-/// What a load is worth that requests wait for, and more for each of them.
-const WAITING_BASE_WORTH: f64 = 0.4;
-const WAITING_WORTH: f64 = 0.6;
-/// Cost of a model that requests wait for.
-const WAITED_FOR: f64 = 1e6;
+/// Minimum rate for more than one replica, in requests per second.
+const MIN_SCALING_RATE: f64 = 0.6;
+/// A replica is surplus when the others would stay below this fraction of the utilisation at which
+/// one is added.
+const SURPLUS_UTILISATION_RATIO: f64 = 0.6;
+/// Fraction of a model's answers that may be late before it gets another replica.
+const LATE_ANSWER_RATIO: f64 = 0.35;
+/// Cost of evicting a replica that is not needed, in late requests.
+const SURPLUS_EVICTION_COST: f64 = 0.001;
+/// Value of a load that requests wait for, in late requests: a base value, and an addition for each
+/// waiting request.
+const WAITING_BASE_VALUE: f64 = 0.4;
+const VALUE_PER_WAITING_REQUEST: f64 = 0.6;
+/// Cost of evicting a model that requests wait for, in late requests.
+const WAITING_EVICTION_COST: f64 = 1e6;
 
-/// What is known of one model in this round.
+/// State of one model in this round.
 #[derive(Debug, Clone, Default)]
-pub(super) struct ModelFacts {
+pub(super) struct ModelState {
     pub(super) demand: DemandSummary,
-    /// Copies that the present demand needs, at least one.
+    /// Replicas that the present demand needs, at least one.
     pub(super) desired: usize,
-    /// Copies that are not surplus: more than are added, so that a demand that
-    /// varies a little moves nothing.
-    keep: usize,
-    /// Whether requests for it come late when it has to be brought back.
+    /// Number of replicas above which a replica is surplus. It is at least `desired`, so that a
+    /// demand that varies a little causes no loads or evictions.
+    surplus_threshold: usize,
+    /// Whether requests would be late if the model had to be reloaded first.
     pub(super) urgent: bool,
     /// Whether requests wait for it.
-    pub(super) waited_for: bool,
+    pub(super) has_waiting_requests: bool,
     /// Requests that wait for it or for an adapter of it.
     pub(super) waiting: u32,
-    /// Instances with a copy of it on disk.
-    on_disk: u32,
-    /// Time of a load from some instance's disk, and from the weight store.
+    /// Instances that have its weights cached on disk.
+    disks_with_weights: u32,
+    /// Time of a load from an instance's own disk, and from the weight store.
     disk_load_time: Millis,
     store_load_time: Millis,
 }
 
-impl ModelFacts {
-    /// How soon it could be brought back with no copy in use, when `gone` disks
-    /// that have it don't count.
-    fn back_time(&self, gone: u32) -> Millis {
-        match self.on_disk > gone {
+impl ModelState {
+    /// Time of a reload when no replica is loaded and `gone` of the disks that have the weights do
+    /// not count.
+    fn reload_time(&self, gone: u32) -> Millis {
+        match self.disks_with_weights > gone {
             true => self.disk_load_time,
             false => self.store_load_time,
         }
     }
 }
 
-/// See the module.
+/// Snapshot of one service; see the module.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Round {
-    /// Where copies are, those on their way included.
-    pub(super) copies: BTreeMap<ModelName, Vec<RunnerId>>,
+    /// Instances with a replica of each model, including those that are loading it or are reserved
+    /// for it.
+    pub(super) replicas: BTreeMap<ModelName, Vec<RunnerId>>,
     /// Adapters that some instance holds, by model.
     pub(super) adapters: BTreeMap<ModelName, BTreeSet<String>>,
-    facts: BTreeMap<ModelName, ModelFacts>,
-    /// Models of which a copy is on its way.
-    coming: BTreeSet<ModelName>,
-    /// Whether demand was followed for long enough to tell what is surplus.
-    knows_demand: bool,
+    models: BTreeMap<ModelName, ModelState>,
+    /// Models of which a replica is being loaded or has a reserved instance.
+    pending: BTreeSet<ModelName>,
+    /// Whether demand has been reported for long enough to identify surplus replicas.
+    has_demand_history: bool,
 }
 
 impl Round {
-    /// Looks at a service.
+    /// Creates the snapshot of a service.
     pub(super) fn new(
         placement: &PlacementEngine,
         service: &str,
         engine: &Engine,
-        wanted: &[Wanted],
+        waiting: &[WaitingRequests],
         now: Timestamp,
     ) -> Self {
         let mut round = Self {
-            knows_demand: placement.knows_demand(now),
+            has_demand_history: placement.has_demand_history(now),
             ..Self::default()
         };
         let utilisation = placement.settings.replica_utilisation;
@@ -99,108 +100,117 @@
         for specification in engine.models.values() {
             let name = specification.name.as_str();
             let demand = placement.demand.summary(service, name, now);
-            let mut facts = facts_of(demand, specification, utilisation);
-            facts.store_load_time = specification.load_time + store_delay(specification);
-            round.facts.insert(specification.name.clone(), facts);
+            let mut state = model_state(demand, specification, utilisation);
+            state.store_load_time = specification.load_time + store_delay(specification);
+            round.models.insert(specification.name.clone(), state);
         }
-        round.note_waiting(wanted);
-        for instance in placement.of_service(service, now) {
+        round.set_waiting(waiting);
+        for instance in placement.usable_instances(service, now) {
             let held = instance.held().map(|(name, _)| name);
-            let coming = instance.loading().into_iter().chain(instance.intent());
-            round.coming.extend(coming.clone().cloned());
-            for name in held.chain(coming) {
-                round.note_copy(name, instance.id());
+            let pending = instance
+                .loading()
+                .into_iter()
+                .chain(instance.reserved_for());
+            round.pending.extend(pending.clone().cloned());
+            for name in held.chain(pending) {
+                round.record_replica(name, instance.id());
             }
-            for name in instance.copies_on_disk() {
-                if let Some(facts) = round.facts.get_mut(name) {
-                    facts.on_disk += 1;
+            for name in instance.models_cached_on_disk() {
+                if let Some(state) = round.models.get_mut(name) {
+                    state.disks_with_weights += 1;
                 }
             }
             for (model, adapter) in instance.all_adapters() {
-                round.note_adapter(model, adapter);
+                round.record_adapter(model, adapter);
             }
         }
-        for facts in round.facts.values_mut() {
-            let back = facts.back_time(0);
-            let objective = facts.demand.objective;
-            facts.urgent = objective.is_some_and(|objective| objective < back);
+        for state in round.models.values_mut() {
+            let reload_time = state.reload_time(0);
+            let objective = state.demand.objective;
+            state.urgent = objective.is_some_and(|objective| objective < reload_time);
         }
-        round.relieve_late();
-        round.relieve_limited(&placement.limits);
+        round.scale_for_late_answers();
+        round.scale_for_rate_limits(&placement.limits);
         round
     }
 
-    /// Takes over what waits now.
-    pub(super) fn note_waiting(&mut self, wanted: &[Wanted]) {
-        for facts in self.facts.values_mut() {
-            facts.waited_for = false;
-            facts.waiting = 0;
+    /// Replaces the waiting requests.
+    pub(super) fn set_waiting(&mut self, waiting: &[WaitingRequests]) {
+        for state in self.models.values_mut() {
+            state.has_waiting_requests = false;
+            state.waiting = 0;
         }
-        for one in wanted {
+        for one in waiting {
             let model = ModelName::from(one.key.model.as_str());
-            if let Some(facts) = self.facts.get_mut(&model) {
-                facts.waited_for = true;
-                facts.waiting += one.count;
+            if let Some(state) = self.models.get_mut(&model) {
+                state.has_waiting_requests = true;
+                state.waiting += one.count;
             }
         }
     }
 
-    /// Forgets copies of a model that are there no more.
-    pub(super) fn keep_copies(&mut self, model: &ModelName, is_there: impl Fn(&RunnerId) -> bool) {
-        if let Some(places) = self.copies.get_mut(model) {
-            places.retain(is_there);
+    /// Drops the replicas of a model for which `is_present` is false.
+    pub(super) fn retain_replicas(
+        &mut self,
+        model: &ModelName,
+        is_present: impl Fn(&RunnerId) -> bool,
+    ) {
+        if let Some(instances) = self.replicas.get_mut(model) {
+            instances.retain(is_present);
         }
     }
 
-    /// Models whose answers are late need one more copy than they have, whatever
-    /// their work says, unless one is on its way.
-    fn relieve_late(&mut self) {
-        let copies = &self.copies;
-        for (name, facts) in &mut self.facts {
-            let demand = &facts.demand;
-            let is_late = demand.fast >= RATE_FOR_COPIES && demand.late > demand.fast * LATE_PART;
+    /// A model whose answers are late needs one more replica than it has, whatever its measured
+    /// work suggests, unless one is being loaded.
+    fn scale_for_late_answers(&mut self) {
+        let replicas = &self.replicas;
+        for (name, state) in &mut self.models {
+            let demand = &state.demand;
+            let is_late =
+                demand.fast >= MIN_SCALING_RATE && demand.late > demand.fast * LATE_ANSWER_RATIO;
             if !is_late {
                 continue;
             }
-            let count = copies.get(name).map_or(0, Vec::len);
-            let more = usize::from(!self.coming.contains(name));
-            facts.desired = facts.desired.max(count + more);
-            facts.keep = facts.keep.max(count);
+            let count = replicas.get(name).map_or(0, Vec::len);
+            let additional = usize::from(!self.pending.contains(name));
+            state.desired = state.desired.max(count + additional);
+            state.surplus_threshold = state.surplus_threshold.max(count);
         }
     }
 
-    /// Models all of whose copies are at instances that name a limit need one more where these
-    /// take less in sum than what is asked for, unless one is on its way.
-    fn relieve_limited(&mut self, limits: &BTreeMap<RunnerId, f64>) {
+    /// A model needs one more replica if all its replicas are on instances with a rate limit and
+    /// these limits add up to less than its demand, unless one is being loaded.
+    fn scale_for_rate_limits(&mut self, limits: &BTreeMap<RunnerId, f64>) {
         if limits.is_empty() {
             return;
         }
-        for (name, facts) in &mut self.facts {
-            let places = self.copies.get(name).map_or(&[][..], Vec::as_slice);
-            let taken: Option<f64> = places.iter().map(|place| limits.get(place)).sum();
-            let is_short = taken.is_some_and(|taken| facts.demand.fast > taken);
-            if places.is_empty() || !is_short || facts.demand.fast < RATE_FOR_COPIES {
+        for (name, state) in &mut self.models {
+            let instances = self.replicas.get(name).map_or(&[][..], Vec::as_slice);
+            let capacity: Option<f64> = instances.iter().map(|one| limits.get(one)).sum();
+            let is_short = capacity.is_some_and(|capacity| state.demand.fast > capacity);
+            if instances.is_empty() || !is_short || state.demand.fast < MIN_SCALING_RATE {
                 continue;
             }
-            let more = usize::from(!self.coming.contains(name));
-            facts.desired = facts.desired.max(places.len() + more);
-            facts.keep = facts.keep.max(places.len());
+            let additional = usize::from(!self.pending.contains(name));
+            state.desired = state.desired.max(instances.len() + additional);
+            state.surplus_threshold = state.surplus_threshold.max(instances.len());
         }
     }
 
-    /// Notes a copy at the instance that is looked at: of its own copies the last one alone
-    /// can be the same. To look for it among all would cost the square of the copies.
-    fn note_copy(&mut self, model: &ModelName, instance: &RunnerId) {
-        let Some(places) = self.copies.get_mut(model) else {
-            self.copies.insert(model.clone(), vec![instance.clone()]);
+    /// Records a replica on the instance that is being visited. Instances are visited one after the
+    /// other, so only the last entry can be a duplicate; a search through all entries would take
+    /// quadratic time.
+    fn record_replica(&mut self, model: &ModelName, instance: &RunnerId) {
+        let Some(instances) = self.replicas.get_mut(model) else {
+            self.replicas.insert(model.clone(), vec![instance.clone()]);
             return;
         };
-        if places.last() != Some(instance) {
-            places.push(instance.clone());
+        if instances.last() != Some(instance) {
+            instances.push(instance.clone());
         }
     }
 
-    fn note_adapter(&mut self, model: &ModelName, adapter: &str) {
+    fn record_adapter(&mut self, model: &ModelName, adapter: &str) {
         let Some(adapters) = self.adapters.get_mut(model) else {
             let adapters = BTreeSet::from([adapter.to_owned()]);
             self.adapters.insert(model.clone(), adapters);
@@ -211,147 +221,154 @@
         }
     }
 
-    pub(super) fn add_copy(&mut self, model: &ModelName, instance: &RunnerId) {
-        let places = self.copies.entry(model.clone()).or_default();
-        if !places.contains(instance) {
-            places.push(instance.clone());
+    pub(super) fn add_replica(&mut self, model: &ModelName, instance: &RunnerId) {
+        let instances = self.replicas.entry(model.clone()).or_default();
+        if !instances.contains(instance) {
+            instances.push(instance.clone());
         }
     }
 
-    pub(super) fn remove_copy(&mut self, model: &ModelName, instance: &RunnerId) {
-        if let Some(places) = self.copies.get_mut(model) {
-            places.retain(|place| place != instance);
+    pub(super) fn remove_replica(&mut self, model: &ModelName, instance: &RunnerId) {
+        if let Some(instances) = self.replicas.get_mut(model) {
+            instances.retain(|one| one != instance);
         }
     }
 
-    /// Copies of a model.
-    pub(super) fn count(&self, model: &ModelName) -> usize {
-        self.copies.get(model).map_or(0, Vec::len)
+    /// Replicas of a model.
+    pub(super) fn replica_count(&self, model: &ModelName) -> usize {
+        self.replicas.get(model).map_or(0, Vec::len)
     }
 
-    /// What is known of a model.
-    pub(super) fn facts(&self, model: &ModelName) -> ModelFacts {
-        self.facts.get(model).cloned().unwrap_or_default()
+    /// State of a model.
+    pub(super) fn state(&self, model: &ModelName) -> ModelState {
+        self.models.get(model).cloned().unwrap_or_default()
     }
 
-    /// Models that were asked for and have fewer copies than they need, with the
-    /// worth of one more.
-    pub(super) fn short_of_copies(&self) -> Vec<(f64, ModelName)> {
-        let known = self.facts.iter().map(|(name, facts)| {
-            let count = self.count(name);
-            (name, facts, count)
+    /// Models that were requested and have fewer replicas than they need, with the value of one
+    /// more.
+    pub(super) fn under_replicated(&self) -> Vec<(f64, ModelName)> {
+        let counted = self.models.iter().map(|(name, state)| {
+            let count = self.replica_count(name);
+            (name, state, count)
         });
-        let short = known.filter(|(_, facts, count)| *count > 0 && facts.desired > *count);
-        let short = short.map(|(name, facts, count)| {
-            let worth = facts.demand.fast / (count + 1) as f64;
-            (worth, name.clone())
+        let under_replicated =
+            counted.filter(|(_, state, count)| *count > 0 && state.desired > *count);
+        let under_replicated = under_replicated.map(|(name, state, count)| {
+            let value = state.demand.fast / (count + 1) as f64;
+            (value, name.clone())
         });
-        short.collect()
+        under_replicated.collect()
     }
 
-    /// What a load is worth that is on its way already: nothing for a copy that
-    /// is needed no longer.
-    pub(super) fn load_worth(&self, model: &ModelName) -> f64 {
-        self.worth_of_copy(model, self.count(model).max(1))
+    /// Value of a load that has been started or reserved: zero for a replica that is no longer
+    /// needed.
+    pub(super) fn load_value(&self, model: &ModelName) -> f64 {
+        self.replica_value(model, self.replica_count(model).max(1))
     }
 
-    /// What the load of one more copy is worth.
-    pub(super) fn next_load_worth(&self, model: &ModelName) -> f64 {
-        self.worth_of_copy(model, self.count(model) + 1)
+    /// Value of one more replica.
+    pub(super) fn next_load_value(&self, model: &ModelName) -> f64 {
+        self.replica_value(model, self.replica_count(model) + 1)
     }
 
-    fn worth_of_copy(&self, model: &ModelName, count: usize) -> f64 {
-        let facts = self.facts(model);
+    fn replica_value(&self, model: &ModelName, count: usize) -> f64 {
+        let state = self.state(model);
         match count {
-            1 if facts.waited_for => waiting_worth(facts.waiting) + absence(&facts),
-            1 => absence(&facts),
-            _ if facts.desired >= count => facts.demand.fast / count as f64,
+            1 if state.has_waiting_requests => {
+                waiting_value(state.waiting) + cost_of_absence(&state)
+            }
+            1 => cost_of_absence(&state),
+            _ if state.desired >= count => state.demand.fast / count as f64,
             _ => 0.0,
         }
     }
 
-    /// Whether some instance has a copy of the model on its disk.
-    pub(super) fn is_on_some_disk(&self, model: &ModelName) -> bool {
-        self.facts.get(model).is_some_and(|facts| facts.on_disk > 0)
+    /// Whether some instance has the weights of the model cached on disk.
+    pub(super) fn is_cached_on_any_disk(&self, model: &ModelName) -> bool {
+        self.models
+            .get(model)
+            .is_some_and(|state| state.disks_with_weights > 0)
     }
 
-    /// Models without a copy that nobody waits for, with the worth of the first.
-    pub(super) fn missing(&self) -> Vec<(f64, ModelName)> {
-        let missing = self.facts.iter();
-        let missing = missing.filter(|(name, facts)| !facts.waited_for && self.count(name) == 0);
-        let missing = missing.map(|(name, facts)| (absence(facts), name.clone()));
-        missing.collect()
+    /// Models without a replica that no request waits for, with the value of their first one.
+    pub(super) fn without_replica(&self) -> Vec<(f64, ModelName)> {
+        let absent = self.models.iter();
+        let absent = absent
+            .filter(|(name, state)| !state.has_waiting_requests && self.replica_count(name) == 0);
+        let absent = absent.map(|(name, state)| (cost_of_absence(state), name.clone()));
+        absent.collect()
     }
 
-    /// What the eviction of a model loses: little where it comes back soon.
-    pub(super) fn evictable(&self, one: &ModelSpecification) -> Evictable {
-        let facts = self.facts.get(&one.name);
-        let count = self.count(&one.name).max(1);
-        let loss = |at_copy| facts.map_or(0.0, |facts| self.eviction_loss(facts, count, at_copy));
-        Evictable {
-            loss_at_store: loss(false),
-            loss_at_copy: loss(true),
-            asked_for: facts.is_some_and(|facts| facts.demand.objective.is_some()),
+    /// Cost of the eviction of a model: low if it can be reloaded soon.
+    pub(super) fn eviction_effect(&self, one: &ModelSpecification) -> EvictionEffect {
+        let state = self.models.get(&one.name);
+        let count = self.replica_count(&one.name).max(1);
+        let cost =
+            |from_cache| state.map_or(0.0, |state| self.eviction_cost(state, count, from_cache));
+        EvictionEffect {
+            cost_from_store: cost(false),
+            cost_from_cache: cost(true),
+            has_demand: state.is_some_and(|state| state.demand.objective.is_some()),
             memory_mb: one.memory_mb,
         }
     }
 
-    fn eviction_loss(&self, facts: &ModelFacts, count: usize, at_copy: bool) -> f64 {
-        if facts.waited_for {
-            return WAITED_FOR;
+    fn eviction_cost(&self, state: &ModelState, count: usize, from_cache: bool) -> f64 {
+        if state.has_waiting_requests {
+            return WAITING_EVICTION_COST;
         }
-        let demand = &facts.demand;
-        let asked_for = demand.objective.is_some();
-        if asked_for && self.knows_demand && count > facts.keep {
-            return SURPLUS_VALUE + demand.slow / count as f64 * 0.01;
+        let demand = &state.demand;
+        let has_demand = demand.objective.is_some();
+        if has_demand && self.has_demand_history && count > state.surplus_threshold {
+            return SURPLUS_EVICTION_COST + demand.slow / count as f64 * 0.01;
         }
-        let back = match at_copy {
-            true => facts.disk_load_time,
-            false => facts.back_time(0),
+        let reload_time = match from_cache {
+            true => state.disk_load_time,
+            false => state.reload_time(0),
         };
         match count {
-            1 => loss_of_absence(demand, back),
-            _ => loss_of_one_of(demand, count, back),
+            1 => absence_cost(demand, reload_time),
+            _ => missing_replica_cost(demand, count, reload_time),
         }
     }
 }
 
-fn facts_of(
+fn model_state(
     demand: DemandSummary,
     specification: &ModelSpecification,
     utilisation: f64,
-) -> ModelFacts {
-    let now = copies_for(demand.fast, demand.tokens, utilisation);
-    let steady = copies_for(
-        demand.steady / KEEP_PART,
+) -> ModelState {
+    let desired = replicas_for(demand.fast, demand.tokens, utilisation);
+    let steady = replicas_for(
+        demand.steady / SURPLUS_UTILISATION_RATIO,
         demand.steady_tokens,
-        utilisation * KEEP_PART,
+        utilisation * SURPLUS_UTILISATION_RATIO,
     );
-    ModelFacts {
-        desired: now,
-        keep: now.max(steady),
+    ModelState {
+        desired,
+        surplus_threshold: desired.max(steady),
         demand,
         disk_load_time: specification.disk_load_time,
         store_load_time: specification.load_time,
-        ..ModelFacts::default()
+        ..ModelState::default()
     }
 }
 
-fn copies_for(rate: f64, tokens: f64, utilisation: f64) -> usize {
-    if rate < RATE_FOR_COPIES {
+fn replicas_for(rate: f64, tokens: f64, utilisation: f64) -> usize {
+    if rate < MIN_SCALING_RATE {
         return 1;
     }
     let work = tokens + rate * TOKENS_PER_REQUEST;
-    let copies = work / READ_PER_SECOND / utilisation;
-    (copies.ceil() as usize).max(1)
+    let replicas = work / PROMPT_TOKENS_PER_SECOND / utilisation;
+    (replicas.ceil() as usize).max(1)
 }
 
-/// What the first copy of a model is worth that `count` requests wait for.
-fn waiting_worth(count: u32) -> f64 {
-    WAITING_BASE_WORTH + WAITING_WORTH * f64::from(count)
+/// Value of the first replica of a model that `count` requests wait for.
+fn waiting_value(count: u32) -> f64 {
+    WAITING_BASE_VALUE + VALUE_PER_WAITING_REQUEST * f64::from(count)
 }
 
-/// What is lost while a model has no copy.
-fn absence(facts: &ModelFacts) -> f64 {
-    loss_of_absence(&facts.demand, facts.back_time(0))
+/// Cost of the absence of a model.
+fn cost_of_absence(state: &ModelState) -> f64 {
+    absence_cost(&state.demand, state.reload_time(0))
 }
--- a/crates/services/src/placement/store.rs
+++ b/crates/services/src/placement/store.rs
@@ -1,20 +1,19 @@
-//! The weight store of a service: how often a load may begin, and how many may
-//! be under way.
+//! The weight store of a service: limits how often loads may start and how many may be in flight.
 //!
-//! Invariant: a load from the store begins only with a token of the ceiling and
-//! with room under the learnt limit. An instance that evicts for such a load
-//! reserves both first, so that no memory lies empty while it waits.
+//! Invariant: a load from the store starts only with a token of the rate limit and with capacity
+//! under the learned concurrency limit. An instance that evicts for such a load reserves both
+//! first, so that no memory is empty while the load is queued.
 
 use crate::ceiling::LoadCeiling;
 use crate::store_limit::StoreLimit;
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use std::collections::BTreeSet;
 
-/// See the module.
+/// Limits of one weight store; see the module.
 #[derive(Debug)]
 pub(super) struct WeightStore {
-    ceiling: LoadCeiling,
-    limit: StoreLimit,
+    rate_limit: LoadCeiling,
+    concurrency_limit: StoreLimit,
     /// Instances that evict for a load from the store.
     reserved: BTreeSet<RunnerId>,
 }
@@ -22,86 +21,94 @@
 impl WeightStore {
     pub(super) fn new(rate: f64, window: Millis, now: Timestamp) -> Self {
         Self {
-            ceiling: LoadCeiling::new(rate, window, now),
-            limit: StoreLimit::new(now),
+            rate_limit: LoadCeiling::new(rate, window, now),
+            concurrency_limit: StoreLimit::new(now),
             reserved: BTreeSet::new(),
         }
     }
 
     pub(super) fn set_rate(&mut self, rate: f64, window: Millis, now: Timestamp) {
-        self.ceiling.set_rate(rate, window, now);
+        self.rate_limit.set_rate(rate, window, now);
     }
 
-    /// Reserves a load for an instance; returns whether it may begin. One that
-    /// nobody waits for (`spare`) leaves room for one that is waited for.
-    pub(super) fn reserve(&mut self, instance: &RunnerId, spare: bool, now: Timestamp) -> bool {
+    /// Reserves a load for an instance; returns whether it may start. A `background` load, which no
+    /// request waits for, leaves capacity for one that requests wait for.
+    pub(super) fn reserve(
+        &mut self,
+        instance: &RunnerId,
+        background: bool,
+        now: Timestamp,
+    ) -> bool {
         if self.reserved.contains(instance) {
             return true;
         }
-        let may_begin = self.has_room(spare, now);
-        if may_begin {
+        let may_start = self.has_room(background, now);
+        if may_start {
             self.reserved.insert(instance.clone());
         }
-        may_begin
+        may_start
     }
 
     /// Whether one more load may be reserved.
-    pub(super) fn has_room(&mut self, spare: bool, now: Timestamp) -> bool {
+    pub(super) fn has_room(&mut self, background: bool, now: Timestamp) -> bool {
         let reserved = self.reserved.len();
-        let kept_free = usize::from(spare);
-        let has_token = match spare {
-            true => self.ceiling.is_nearly_full(now),
-            false => self.ceiling.tokens(now) >= (reserved + 1) as f64,
+        let kept_for_waiting = usize::from(background);
+        let has_token = match background {
+            true => self.rate_limit.is_nearly_full(now),
+            false => self.rate_limit.tokens(now) >= (reserved + 1) as f64,
         };
-        has_token && self.limit.free(now) > reserved + kept_free
+        has_token && self.concurrency_limit.available(now) > reserved + kept_for_waiting
     }
 
-    /// Begins the load of an instance that has reserved it; returns whether it
-    /// may begin.
-    pub(super) fn begin(&mut self, instance: &RunnerId, expected: Millis, now: Timestamp) -> bool {
-        if !self.ceiling.take(now) {
+    /// Starts the load of an instance that has reserved it; returns whether it may start.
+    pub(super) fn begin(&mut self, instance: &RunnerId, load_time: Millis, now: Timestamp) -> bool {
+        if !self.rate_limit.take(now) {
             return false;
         }
         self.reserved.remove(instance);
-        self.limit.began(instance, expected, now);
+        self.concurrency_limit
+            .record_start(instance, load_time, now);
         true
     }
 
-    /// A load surely did not begin.
-    pub(super) fn not_begun(&mut self, instance: &RunnerId, now: Timestamp) {
-        self.ceiling.give_back(now);
-        self.limit.dropped(instance, now);
+    /// Cancels a load that certainly did not start.
+    pub(super) fn cancel(&mut self, instance: &RunnerId, now: Timestamp) {
+        self.rate_limit.give_back(now);
+        self.concurrency_limit.remove(instance, now);
     }
 
-    /// An instance holds what it was to load; returns the loads under way
-    /// meanwhile, in the mean, and the limit from now on.
-    pub(super) fn ended(&mut self, instance: &RunnerId, now: Timestamp) -> (f64, usize) {
-        let end = self.limit.ended(instance, now);
-        (end.map_or(0.0, |end| end.at_once), self.limit.limit())
+    /// Finishes the load of an instance; returns the mean number of concurrent loads meanwhile, and
+    /// the concurrency limit from now on.
+    pub(super) fn finish(&mut self, instance: &RunnerId, now: Timestamp) -> (f64, usize) {
+        let end = self.concurrency_limit.record_end(instance, now);
+        (
+            end.map_or(0.0, |end| end.mean_concurrency),
+            self.concurrency_limit.limit(),
+        )
     }
 
-    /// Forgets reservations and loads of instances that have none.
+    /// Drops reservations and loads of instances that have none.
     pub(super) fn retain(
         &mut self,
-        reserves: impl Fn(&RunnerId) -> bool,
-        loads: impl Fn(&RunnerId) -> bool,
+        is_reserved: impl Fn(&RunnerId) -> bool,
+        loads_from_store: impl Fn(&RunnerId) -> bool,
         now: Timestamp,
     ) {
-        self.reserved.retain(|instance| reserves(instance));
-        self.limit.retain(loads, now);
+        self.reserved.retain(|instance| is_reserved(instance));
+        self.concurrency_limit.retain(loads_from_store, now);
     }
 
-    /// Loads under way.
-    pub(super) fn under_way(&self) -> usize {
-        self.limit.under_way()
+    /// Loads in flight.
+    pub(super) fn in_flight(&self) -> usize {
+        self.concurrency_limit.in_flight()
     }
 
-    /// How long a load waits before it begins when `waiting` others wait.
+    /// Estimated time until a load may start when `waiting` other loads are queued before it.
     pub(super) fn delay(&self, load_time: Millis, waiting: usize, now: Timestamp) -> Millis {
-        if self.limit.free(now) > self.reserved.len() + waiting {
+        if self.concurrency_limit.available(now) > self.reserved.len() + waiting {
             return Millis(0);
         }
-        let turns = (waiting + 1) as f64 / self.limit.limit().max(1) as f64;
-        Millis((load_time.0 as f64 * turns) as u64)
+        let load_times = (waiting + 1) as f64 / self.concurrency_limit.limit().max(1) as f64;
+        Millis((load_time.0 as f64 * load_times) as u64)
     }
 }
--- a/crates/services/src/placement/usage.rs
+++ b/crates/services/src/placement/usage.rs
@@ -1,17 +1,18 @@
-//! What the routers use, in sum.
+//! Requests and prompt tokens in flight at instances, summed over all routers.
 
 use crate::feed::InstanceUsage;
 use courseshunt_types::RunnerId;
 use std::collections::BTreeMap;
 
-/// Requests and unread prompt tokens at one instance.
+/// Requests and unprocessed prompt tokens at one instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Total {
     in_flight: u32,
     prompt_tokens: u32,
 }
 
-/// See the module. Costs are proportional to a report, not to the fleet.
+/// Usage by router with the sums; see the module. The time of an update is proportional to the
+/// report, not to the number of instances.
 #[derive(Debug, Default)]
 pub(super) struct UsageTable {
     routers: BTreeMap<String, Vec<InstanceUsage>>,
@@ -20,7 +21,7 @@
 
 impl UsageTable {
     pub(super) fn record(&mut self, router: &str, usage: Vec<InstanceUsage>) {
-        self.forget(router);
+        self.remove(router);
         for one in &usage {
             let total = self.totals.entry(one.instance.clone()).or_default();
             total.in_flight += one.in_flight;
@@ -29,7 +30,7 @@
         self.routers.insert(router.to_owned(), usage);
     }
 
-    pub(super) fn forget(&mut self, router: &str) {
+    pub(super) fn remove(&mut self, router: &str) {
         for one in self.routers.remove(router).into_iter().flatten() {
             let Some(total) = self.totals.get_mut(&one.instance) else {
                 continue;
@@ -42,8 +43,8 @@
         }
     }
 
-    /// Usage at every instance in use, over all routers.
-    pub(super) fn all(&self) -> Vec<InstanceUsage> {
+    /// Usage at each instance in use, summed over all routers.
+    pub(super) fn totals(&self) -> Vec<InstanceUsage> {
         let totals = self.totals.iter();
         let totals = totals.map(|(instance, total)| InstanceUsage {
             instance: instance.clone(),
@@ -53,7 +54,7 @@
         totals.collect()
     }
 
-    /// Requests under way at an instance, over all routers.
+    /// Requests in flight at an instance, summed over all routers.
     pub(super) fn in_flight(&self, instance: &RunnerId) -> u32 {
         let total = self.totals.get(instance);
         total.map_or(0, |total| total.in_flight)
--- a/crates/services/tests/lives.rs
+++ b/crates/services/tests/incarnations.rs
@@ -1,6 +1,6 @@
-//! An instance starts again under its name. Messages of both lives come in any order, by
-//! this controller and by others, and through a new leader: what is believed in the end is
-//! what the later life says.
+//! An instance restarts under its name. Messages of both incarnations arrive in any order, through
+//! this controller, through others and through a new leader: the state of the later incarnation
+//! wins.
 
 use courseshunt_services::*;
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp, Zone};
@@ -50,11 +50,11 @@
 }
 
 #[test]
-fn a_later_life_counts_anew_and_holds_nothing_of_before() {
+fn a_later_incarnation_starts_with_new_sequence_numbers_and_models() {
     let mut engine = engine();
     let now = Timestamp(10_000);
     assert!(engine.register(registration(Some(FIRST), 90, "old"), now));
-    // Its own count is far below that of the life before.
+    // Its sequence number is far below that of the previous incarnation.
     assert!(engine.register(registration(Some(SECOND), 1, "new"), now));
     let later = vec![(RunnerId::of_life("i-1", SECOND), "new".to_owned())];
     assert_eq!(models(&engine, now), later);
@@ -64,12 +64,12 @@
     let (_, gone) = engine.take_changes(now);
     assert!(
         gone.contains(&RunnerId::of_life("i-1", FIRST)),
-        "routers are told"
+        "routers are notified"
     );
 }
 
 #[test]
-fn who_names_no_start_means_the_newest_life() {
+fn a_name_without_a_start_time_refers_to_the_newest_incarnation() {
     let mut engine = engine();
     let now = Timestamp(10_000);
     engine.register(registration(Some(FIRST), 1, "m"), now);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_report_of_another_life_changes_nothing() {
+fn a_report_of_another_incarnation_is_ignored() {
     let mut engine = engine();
     let now = Timestamp(10_000);
     engine.register(registration(Some(SECOND), 1, "new"), now);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn without_starts_nothing_is_different() {
+fn instances_without_start_times_have_one_incarnation() {
     let mut engine = engine();
     let now = Timestamp(10_000);
     assert!(engine.register(registration(None, 1, "a"), now));
@@ -106,32 +106,36 @@
 
 /// How a message reaches the leader.
 #[derive(Debug, Clone, Copy)]
-enum Way {
-    Here,
+enum Delivery {
+    Direct,
     Relayed,
-    /// A new leader takes over what was recorded of the instance before.
+    /// A new leader adds what an earlier one recorded of the instance.
     Seeded,
 }
 
-fn messages() -> impl Strategy<Value = Vec<(u64, u64, Way)>> {
-    let way = prop_oneof![Just(Way::Here), Just(Way::Relayed), Just(Way::Seeded)];
-    let message = (prop_oneof![Just(FIRST), Just(SECOND)], 1..6_u64, way);
+fn messages() -> impl Strategy<Value = Vec<(u64, u64, Delivery)>> {
+    let delivery = prop_oneof![
+        Just(Delivery::Direct),
+        Just(Delivery::Relayed),
+        Just(Delivery::Seeded)
+    ];
+    let message = (prop_oneof![Just(FIRST), Just(SECOND)], 1..6_u64, delivery);
     proptest::collection::vec(message, 1..40)
 }
 
 proptest! {
     #[test]
-    fn any_order_of_two_lives_ends_at_the_later_one(messages in messages()) {
+    fn the_later_incarnation_wins_in_any_message_order(messages in messages()) {
         let mut engine = engine();
         let mut outbox = RegistrationOutbox::default();
         let now = Timestamp(10_000);
         outbox.restart(now);
         let mut latest = FIRST;
-        for (started, sequence, way) in messages {
+        for (started, sequence, delivery) in messages {
             let one = registration(Some(started), sequence, &format!("m{started}"));
-            match way {
-                Way::Here => drop(engine.register(one, now)),
-                Way::Relayed => {
+            match delivery {
+                Delivery::Direct => drop(engine.register(one, now)),
+                Delivery::Relayed => {
                     outbox.offer(one, now);
                     for relayed in outbox.take(now) {
                         if let Err(lacked) = engine.register_relayed(relayed, now) {
@@ -139,7 +143,7 @@
                         }
                     }
                 }
-                Way::Seeded => {
+                Delivery::Seeded => {
                     let mut recorded = PlacementEngine::new(PlacementSettings::default());
                     recorded.register(one, now);
                     for view in recorded.views(now) {
--- a/crates/services/tests/whole_fleet.rs
+++ b/crates/services/tests/large_fleet.rs
@@ -1,16 +1,16 @@
-//! A new leader takes 10,000 instances over. It calls only those that it has an order for,
-//! a bounded part at a time, what requests wait for first; an address that moves from one
-//! instance to another is followed.
+//! A new leader takes over 10,000 instances. It calls only those that it has an order for, a
+//! bounded number at a time, models with waiting requests first. An address that moves from one
+//! instance to another is handled.
 
-mod placement_world;
+mod placement_simulation;
 
 use courseshunt_services::*;
 use courseshunt_types::{ModelName, RunnerId, Timestamp, Zone};
-use placement_world::{configuration, demand};
+use placement_simulation::{configuration, demand};
 
 const INSTANCES: u32 = 10_000;
-/// Calls to instances that may be under way at once.
-const MOST_CALLS: usize = 256;
+/// Maximum number of concurrent calls to instances.
+const MAX_CALLS: usize = 256;
 
 fn registration(number: u32, address: u32, sequence: u64) -> Registration {
     Registration {
@@ -40,7 +40,7 @@
     engine
 }
 
-/// Answers what an instance is asked, or told.
+/// Answers a query or an order.
 fn answer(engine: &mut PlacementEngine, step: &PlacementStep, now: Timestamp) {
     match step {
         PlacementStep::QueryInstance { instance, .. } => {
@@ -60,41 +60,40 @@
     }
 }
 
-/// Each of the 42 adapters of the models held is loaded once, and no more instances are
-/// called for them than that takes, of the 1,400 that hold each model.
+/// Each of the 42 adapters of the held models is loaded once, and of the 1,400 instances that hold
+/// each model no more are called than that takes.
 #[test]
 fn a_new_leader_does_not_call_all_instances() {
     let mut now = Timestamp(10_000);
     let mut engine = fleet(now);
-    let mut under_way = Vec::new();
-    let (mut asked, mut adapters) = (0, 0);
+    let mut in_flight = Vec::new();
+    let (mut queries, mut adapters) = (0, 0);
     for _ in 0..12 {
         let steps = engine.plan(now);
-        let is_question =
-            |step: &&PlacementStep| matches!(step, PlacementStep::QueryInstance { .. });
-        asked += steps.iter().filter(is_question).count();
+        let is_query = |step: &&PlacementStep| matches!(step, PlacementStep::QueryInstance { .. });
+        queries += steps.iter().filter(is_query).count();
         let is_adapter = |step: &&PlacementStep| {
             matches!(step, PlacementStep::SendOrder(order)
                 if matches!(order.action, OrderAction::LoadAdapter(..)))
         };
         adapters += steps.iter().filter(is_adapter).count();
-        under_way.extend(steps);
-        assert!(under_way.len() <= MOST_CALLS, "{} calls", under_way.len());
-        // Some answers come late.
-        let left = under_way.len() / 3;
-        for step in under_way.drain(left..) {
+        in_flight.extend(steps);
+        assert!(in_flight.len() <= MAX_CALLS, "{} calls", in_flight.len());
+        // Some answers arrive late.
+        let left = in_flight.len() / 3;
+        for step in in_flight.drain(left..) {
             answer(&mut engine, &step, now);
         }
         now = Timestamp(now.0 + 20);
     }
     assert_eq!(adapters, 42);
-    assert!(asked <= 200, "{asked} questions");
+    assert!(queries <= 200, "{queries} queries");
 }
 
-/// Nobody answers, as after a cut: calls stay bounded, and a model that requests wait for
-/// finds room among them.
+/// No instance answers, as after a network partition: the number of calls stays bounded, and a
+/// model with waiting requests still gets one.
 #[test]
-fn a_model_that_requests_wait_for_finds_room_among_the_calls() {
+fn a_model_with_waiting_requests_gets_call_capacity() {
     let mut now = Timestamp(10_000);
     let mut engine = PlacementEngine::new(PlacementSettings::default());
     let mut configuration = ServiceConfiguration::clone(&configuration());
@@ -108,8 +107,12 @@
     for number in 0..INSTANCES {
         engine.register(registration(number, number, 1), now);
     }
-    let unasked = engine.plan(now);
-    assert!(unasked.len() <= MOST_CALLS / 2 + 8, "{}", unasked.len());
+    let background = engine.plan(now);
+    assert!(
+        background.len() <= MAX_CALLS / 2 + 8,
+        "{}",
+        background.len()
+    );
     engine.report_usage("router", Vec::new(), &[demand("m7", 1, 1, 500)], now);
     let mut loaded = false;
     for _ in 0..50 {
@@ -123,21 +126,21 @@
             return;
         }
     }
-    panic!("m7 is not loaded");
+    panic!("m7 was not loaded");
 }
 
 #[test]
-fn an_address_belongs_to_the_instance_that_has_it_now() {
+fn an_address_belongs_to_its_current_instance() {
     let start = Timestamp(10_000);
     let mut engine = PlacementEngine::new(PlacementSettings::default());
     engine.configure(configuration(), start);
     engine.register(registration(1, 1, 1), start);
-    // It moves; another one that comes to its old address must not drop it.
+    // The instance moves; another one that registers at its previous address must not remove it.
     engine.register(registration(1, 2, 2), start);
     let later = Timestamp(start.0 + 1_500);
     engine.register(registration(3, 1, 1), later);
     assert!(engine.contains(&RunnerId::from("i-1")));
-    // One that comes to its new address replaces it: it is silent.
+    // An instance that registers at its new address replaces it, since it is silent.
     engine.register(registration(4, 2, 1), later);
     assert!(!engine.contains(&RunnerId::from("i-1")));
     assert!(engine.contains(&RunnerId::from("i-3")));
@@ -145,7 +148,7 @@
 }
 
 #[test]
-fn an_adapter_that_becomes_ready_is_told_when_it_does() {
+fn an_adapter_is_reported_to_routers_when_it_becomes_ready() {
     let start = Timestamp(10_000);
     let mut engine = PlacementEngine::new(PlacementSettings::default());
     engine.configure(configuration(), start);
@@ -156,14 +159,17 @@
             answer(&mut engine, &step, now);
         }
         now = Timestamp(now.0 + 20);
-        assert!(now.0 < start.0 + 5_000, "an adapter is loaded");
+        assert!(now.0 < start.0 + 5_000, "no adapter was loaded within 5 s");
     }
     let _ = engine.take_changes(now);
     let due = engine
         .next_adapter_ready()
-        .expect("an adapter is on its way");
+        .expect("an adapter is being loaded");
     engine.mark_adapters_ready(Timestamp(due.0 - 1));
-    assert!(engine.take_changes(now).0.is_empty(), "not yet");
+    assert!(
+        engine.take_changes(now).0.is_empty(),
+        "the adapter is not ready yet"
+    );
     engine.mark_adapters_ready(due);
     let (changed, _) = engine.take_changes(due);
     assert_eq!(changed.len(), 1);
--- a/crates/services/tests/placement.rs
+++ b/crates/services/tests/placement.rs
@@ -1,82 +1,90 @@
-//! The placement engine against a model of instances: orders keep every limit,
-//! also when they are lost or carried out late.
+//! Tests of the placement engine against simulated instances: orders keep all limits, also when
+//! they are lost or carried out late.
 
-mod placement_world;
+mod placement_simulation;
 
 use courseshunt_services::*;
 use courseshunt_types::{Millis, RunnerId, Timestamp};
-use placement_world::*;
+use placement_simulation::*;
 
 #[test]
-fn a_model_that_is_waited_for_is_loaded() {
-    let mut world = World::new(1, 2, 0);
-    // The runners first load what fills them (2 s), then this model (2 s).
+fn a_model_with_waiting_requests_is_loaded() {
+    let mut simulation = Simulation::new(1, 2, 0);
+    // The instances are first filled with other models (2 s), then this model is loaded (2 s).
     for _ in 0..450 {
-        world.step(&[demand("m7", 1, 1, 500)]);
+        simulation.step(&[demand("m7", 1, 1, 500)]);
     }
-    assert!(world.copies("m7") >= 1, "{:?}", world.runners);
+    assert!(simulation.replicas("m7") >= 1, "{:?}", simulation.instances);
 }
 
 #[test]
-fn free_memory_is_filled_and_nothing_is_evicted_for_models_nobody_asks_for() {
-    let mut world = World::new(2, 4, 0);
+fn free_memory_is_filled_without_evictions_for_models_without_requests() {
+    let mut simulation = Simulation::new(2, 4, 0);
     for _ in 0..2_000 {
-        world.step(&[]);
+        simulation.step(&[]);
     }
-    let held: usize = world.runners.values().map(|one| one.models.len()).sum();
-    assert_eq!(held, 8, "two models fit each runner: {:?}", world.runners);
+    let held: usize = simulation
+        .instances
+        .values()
+        .map(|one| one.models.len())
+        .sum();
+    assert_eq!(
+        held, 8,
+        "two models fit on each instance: {:?}",
+        simulation.instances
+    );
     for number in 0..4 {
         assert!(
-            world.copies(&format!("m{number}")) >= 1,
+            simulation.replicas(&format!("m{number}")) >= 1,
             "m{number} was evicted"
         );
     }
 }
 
 #[test]
-fn a_busy_model_gets_more_copies() {
-    let mut world = World::new(3, 6, 0);
+fn a_busy_model_gets_more_replicas() {
+    let mut simulation = Simulation::new(3, 6, 0);
     for _ in 0..2_000 {
-        world.step(&[demand("m0", 4, 0, 500)]);
+        simulation.step(&[demand("m0", 4, 0, 500)]);
     }
-    assert!(world.copies("m0") >= 2, "{:?}", world.runners);
+    assert!(simulation.replicas("m0") >= 2, "{:?}", simulation.instances);
 }
 
 #[test]
-fn a_steady_demand_moves_nothing_for_long() {
-    let mut world = World::new(4, 6, 0);
+fn a_steady_demand_causes_no_further_loads() {
+    let mut simulation = Simulation::new(4, 6, 0);
     let steady = [demand("m0", 3, 0, 500), demand("m1", 1, 0, 500)];
     for _ in 0..2_000 {
-        world.step(&steady);
+        simulation.step(&steady);
     }
-    let before = world.loads.len();
+    let before = simulation.loads.len();
     for _ in 0..3_000 {
-        world.step(&steady);
+        simulation.step(&steady);
     }
-    let moved = world.loads.len() - before;
-    assert!(moved <= 1, "{moved} loads under a steady demand");
+    let additional = simulation.loads.len() - before;
+    assert!(additional <= 1, "{additional} loads under a steady demand");
 }
 
 #[test]
 fn lost_and_late_orders_never_overfill_an_instance() {
     for seed in 0..40 {
-        let mut world = World::new(100 + seed, 18, 50);
+        let mut simulation = Simulation::new(100 + seed, 18, 50);
         for round in 0..1_500_u32 {
             let hot = (round / 200) as usize % MODELS;
-            let rare = [0; 4].map(|_: u32| world.draw(MODELS as u32));
+            let rare = [0; 4].map(|_: u32| simulation.draw(MODELS as u32));
             let mut adapter = demand(&format!("m{hot}"), 1, 1, 500);
-            adapter.adapter = Some(format!("a{}", world.draw(60)));
-            let mut asked = vec![
+            adapter.adapter = Some(format!("a{}", simulation.draw(60)));
+            let mut demands = vec![
                 adapter,
                 demand(&format!("m{hot}"), 4, u32::from(round % 3 == 0), 500),
             ];
-            asked.extend(rare.map(|rare| demand(&format!("m{rare}"), 1, 1, 5_000)));
-            world.step(&asked);
+            demands.extend(rare.map(|rare| demand(&format!("m{rare}"), 1, 1, 5_000)));
+            simulation.step(&demands);
         }
         let window = 5_000;
         let bound = LOADS_PER_SECOND * 5.0 * 1.1 + 3.0;
-        for start in &world.loads {
-            let inside = world.loads.iter();
+        for start in &simulation.loads {
+            let inside = simulation.loads.iter();
             let inside = inside
                 .filter(|at| (*start..=start + window).contains(*at))
                 .count();
@@ -88,70 +96,76 @@
     }
 }
 
-/// Longest time from the loss of an order to the next one, in milliseconds: the
-/// instance is asked in between.
-const ORDER_AGAIN: u64 = 300;
+/// Maximum time from the loss of an order to the next one, in milliseconds; it includes a query of
+/// the instance.
+const MAX_RETRY_DELAY: u64 = 300;
 
 #[test]
-fn a_lost_order_is_given_again_soon() {
-    let mut world = World::new(5, 1, 100);
-    while world.given.is_empty() {
-        world.step(&[demand("m7", 1, 1, 500)]);
+fn a_lost_order_is_retried_soon() {
+    let mut simulation = Simulation::new(5, 1, 100);
+    while simulation.sent_at.is_empty() {
+        simulation.step(&[demand("m7", 1, 1, 500)]);
     }
-    world.lost_share = 0;
-    while world.given.len() < 2 {
-        world.step(&[demand("m7", 1, 1, 500)]);
-        assert!(world.now - world.given[0] <= ORDER_AGAIN, "not given again");
+    simulation.lost_percent = 0;
+    while simulation.sent_at.len() < 2 {
+        simulation.step(&[demand("m7", 1, 1, 500)]);
+        assert!(
+            simulation.now - simulation.sent_at[0] <= MAX_RETRY_DELAY,
+            "the order was not retried"
+        );
     }
 }
 
 #[test]
-fn an_instance_that_left_does_not_come_back() {
-    let mut world = World::new(5, 2, 0);
-    world.step(&[]);
+fn an_instance_that_left_is_not_added_again() {
+    let mut simulation = Simulation::new(5, 2, 0);
+    simulation.step(&[]);
     let id = RunnerId::from("r0");
     for number in 0..2 {
         let id = RunnerId::from(format!("r{number}"));
-        world.register(&id);
+        simulation.register(&id);
     }
-    world.engine.mark_leaving(&id);
-    world.register(&id);
+    simulation.engine.mark_leaving(&id);
+    simulation.register(&id);
     assert!(
-        !world.engine.is_ready(&id),
-        "a later registration revived it"
+        !simulation.engine.is_ready(&id),
+        "a later registration made it ready again"
     );
-    world.engine.mark_terminated(&id, Timestamp::at(world.now));
-    world.register(&id);
-    let views = world.engine.views(Timestamp::at(world.now));
+    simulation
+        .engine
+        .mark_terminated(&id, Timestamp::at(simulation.now));
+    simulation.register(&id);
+    let views = simulation.engine.views(Timestamp::at(simulation.now));
     assert!(views.iter().all(|view| view.id != id));
 }
 
 #[test]
-fn an_instance_that_leaves_before_it_is_known_is_told_to_routers() {
-    for ends in [false, true] {
-        let mut world = World::new(6, 1, 0);
+fn routers_are_notified_of_a_leaving_instance_that_never_registered() {
+    for terminated in [false, true] {
+        let mut simulation = Simulation::new(6, 1, 0);
         let id = RunnerId::from("unknown");
-        match ends {
-            true => world.engine.mark_terminated(&id, Timestamp(10)),
-            false => world.engine.mark_leaving(&id),
+        match terminated {
+            true => simulation.engine.mark_terminated(&id, Timestamp(10)),
+            false => simulation.engine.mark_leaving(&id),
         }
-        let (changed, gone) = world.engine.take_changes(Timestamp(10));
+        let (changed, gone) = simulation.engine.take_changes(Timestamp(10));
         assert!(changed.is_empty());
-        assert_eq!(gone, [id], "ends: {ends}");
+        assert_eq!(gone, [id], "terminated: {terminated}");
     }
 }
 
-/// The bucket of loads is refilled by time alone.
+/// Only time refills the token bucket of loads. The unload of an adapter must not refund a token.
 #[test]
-fn an_adapter_that_is_unloaded_gives_no_load_back() {
-    let mut world = World::new(7, 18, 0);
+fn unloading_an_adapter_refunds_no_load_token() {
+    let mut simulation = Simulation::new(7, 18, 0);
     for _ in 0..1_000 {
         let wanted = (0..30).map(|number| demand(&format!("m{}", 18 + number % 22), 0, 1, 500));
         let wanted: Vec<ModelDemand> = wanted.collect();
-        world.step(&wanted);
-        // It takes no orders itself, so that nothing else is disturbed.
+        simulation.step(&wanted);
+        // The instance is leaving and gets no orders itself, so that the rest of the fleet is not
+        // affected.
         let leaving = RunnerId::from("r17");
-        world.engine.mark_leaving(&leaving);
+        simulation.engine.mark_leaving(&leaving);
         let order = Order {
             instance: leaving,
             address: String::new(),
@@ -167,29 +181,32 @@
             },
         };
         let outcome = OrderOutcome::AlreadyDone;
-        let now = Timestamp::at(world.now);
-        world.engine.on_outcome(&order, outcome, now);
-        let first = world.loads.len().saturating_sub(24);
-        let recent = world.loads[first..].first().copied().unwrap_or(0);
-        let many = world.loads.len() >= 25 && world.now - recent < 4_000;
-        assert!(!many, "25 loads within 4 s at {}", world.now);
+        let now = Timestamp::at(simulation.now);
+        simulation.engine.on_outcome(&order, outcome, now);
+        let first = simulation.loads.len().saturating_sub(24);
+        let recent = simulation.loads[first..].first().copied().unwrap_or(0);
+        let too_many = simulation.loads.len() >= 25 && simulation.now - recent < 4_000;
+        assert!(!too_many, "25 loads within 4 s at {}", simulation.now);
     }
 }
 
 #[test]
-fn a_late_registration_does_not_bring_a_leaving_instance_back() {
-    let mut world = World::new(8, 1, 0);
+fn a_delayed_registration_does_not_make_a_leaving_instance_ready() {
+    let mut simulation = Simulation::new(8, 1, 0);
     let id = RunnerId::from("r0");
-    world.engine.mark_leaving(&id);
-    world.register(&id);
-    assert!(!world.engine.is_ready(&id), "it was ready when it said so");
+    simulation.engine.mark_leaving(&id);
+    simulation.register(&id);
+    assert!(
+        !simulation.engine.is_ready(&id),
+        "a delayed registration made it ready"
+    );
 }
 
-/// What an earlier leader recorded is a hint: it serves until the instance says
-/// otherwise, and brings no leaving instance back.
+/// Instances that an earlier leader recorded are used until they register or time out, and leaving
+/// ones are not added again.
 #[test]
-fn recorded_instances_are_known_until_they_register() {
-    let mut earlier = World::new(9, 3, 0);
+fn recorded_instances_are_removed_unless_they_register() {
+    let mut earlier = Simulation::new(9, 3, 0);
     for _ in 0..200 {
         earlier.step(&[]);
     }
@@ -204,80 +221,94 @@
     assert!(!engine.is_ready(&RunnerId::from("r0")));
     assert!(engine.is_ready(&RunnerId::from("r1")));
     let orders = engine.plan(Timestamp(100));
-    let given = orders
+    let is_sent = orders
         .iter()
         .any(|step| matches!(step, PlacementStep::SendOrder(_)));
-    assert!(!given, "no order before the instance was asked: {orders:?}");
+    assert!(
+        !is_sent,
+        "an order was sent before the instance was queried: {orders:?}"
+    );
     engine.expire(Timestamp(5_100));
     assert!(
         !engine.is_ready(&RunnerId::from("r1")),
-        "it never registered"
+        "an instance that never registered must time out"
     );
 }
 
-/// Two routers that can't reach a silent instance are believed before its
-/// silence alone would be.
+/// A silent instance that two routers cannot reach counts as dead before its silence alone would
+/// suffice.
 #[test]
-fn a_model_whose_only_holder_is_dark_is_loaded_elsewhere() {
-    let mut world = World::new(10, 3, 0);
+fn a_model_whose_only_holder_is_unreachable_is_loaded_elsewhere() {
+    let mut simulation = Simulation::new(10, 3, 0);
     for step in 0..500 {
-        world.step(&[demand("m0", u32::from(step < 25), 0, 500)]);
+        simulation.step(&[demand("m0", u32::from(step < 25), 0, 500)]);
     }
-    assert_eq!(world.copies("m0"), 1);
-    let dark = RunnerId::from("r0");
-    let stopped = world.runners.remove(&dark).expect("the holder");
-    assert!(stopped.models.contains_key("m0"));
+    assert_eq!(simulation.replicas("m0"), 1);
+    let unreachable = RunnerId::from("r0");
+    let removed = simulation
+        .instances
+        .remove(&unreachable)
+        .expect("r0 exists");
+    assert!(removed.models.contains_key("m0"));
     for _ in 0..400 {
-        world.step(&[demand("m0", 0, 1, 500)]);
-        let now = Timestamp::at(world.now);
+        simulation.step(&[demand("m0", 0, 1, 500)]);
+        let now = Timestamp::at(simulation.now);
         for router in ["one", "two"] {
-            world
+            simulation
                 .engine
-                .report_unreachable(router, std::slice::from_ref(&dark), now);
+                .report_unreachable(router, std::slice::from_ref(&unreachable), now);
         }
     }
-    assert!(world.copies("m0") >= 1, "4 s later: {:?}", world.runners);
+    assert!(
+        simulation.replicas("m0") >= 1,
+        "4 s later: {:?}",
+        simulation.instances
+    );
 }
 
-/// Late answers say that the work was judged too small.
+/// Late answers show that the measured work underestimates the demand.
 #[test]
-fn a_model_whose_answers_are_late_gets_another_copy() {
-    let mut world = World::new(11, 6, 0);
+fn a_model_whose_answers_are_late_gets_another_replica() {
+    let mut simulation = Simulation::new(11, 6, 0);
     for _ in 0..1_500 {
-        let mut small = demand("m0", 1, 0, 500);
-        small.tokens = 100;
-        small.late = 1;
-        world.step(&[small]);
+        let mut wanted = demand("m0", 1, 0, 500);
+        wanted.tokens = 100;
+        wanted.late = 1;
+        simulation.step(&[wanted]);
     }
-    assert!(world.copies("m0") >= 2, "{:?}", world.runners);
-    let mut calm = World::new(11, 6, 0);
+    assert!(simulation.replicas("m0") >= 2, "{:?}", simulation.instances);
+    let mut in_time = Simulation::new(11, 6, 0);
     for _ in 0..1_500 {
-        let mut small = demand("m0", 1, 0, 500);
-        small.tokens = 100;
-        calm.step(&[small]);
+        let mut wanted = demand("m0", 1, 0, 500);
+        wanted.tokens = 100;
+        in_time.step(&[wanted]);
     }
-    assert_eq!(calm.copies("m0"), 1, "without late answers one is enough");
+    assert_eq!(
+        in_time.replicas("m0"),
+        1,
+        "without late answers one replica suffices"
+    );
 }
 
-/// The instance that is the best place can't be connected to: the model is
-/// loaded at another without waiting for more signs that it is dead.
+/// No connection can be made to the best load target: the model is loaded on another instance
+/// without waiting for more evidence that the first one is dead.
 #[test]
 fn an_order_that_cannot_be_delivered_goes_to_another_instance() {
-    let mut world = World::new(9, 4, 0);
+    let mut simulation = Simulation::new(9, 4, 0);
     for _ in 0..500 {
-        world.step(&[]);
+        simulation.step(&[]);
     }
-    world.unreachable.insert(RunnerId::from("r0"));
-    let before = world.loads_of("m30");
-    let began = world.now;
-    while world.loads_of("m30") == before && world.now < began + 5_000 {
-        world.step(&[demand("m30", 1, 1, 5_000)]);
+    simulation.unreachable.insert(RunnerId::from("r0"));
+    let before = simulation.load_count("m30");
+    let start = simulation.now;
+    while simulation.load_count("m30") == before && simulation.now < start + 5_000 {
+        simulation.step(&[demand("m30", 1, 1, 5_000)]);
     }
-    let waited = world.now - began;
-    assert!(waited <= 800, "{waited} ms until the load began");
+    let waited = simulation.now - start;
+    assert!(waited <= 800, "{waited} ms until the load started");
 }
 
-/// A registration of an instance at the one address that these tests dispute.
+/// A registration of an instance at the one address that these tests share.
 fn registration(id: &str, sequence: u64) -> Registration {
     Registration {
         id: RunnerId::from(id),
@@ -293,38 +324,42 @@
     }
 }
 
-/// A registration that was held up on its way arrives after its sender has crashed and
-/// another incarnation has registered at the same address.
-/// What is beyond the limit that the only holder of a model names was refused for as long as it
-/// lasted.
+/// Requests beyond the rate limit of the only holder of a model were refused for as long as the
+/// demand lasted.
 #[test]
-fn a_model_whose_only_copy_names_a_limit_below_its_demand_gets_another_copy_elsewhere() {
-    let copies_with = |limit: Option<f64>| {
-        let mut world = World::new(11, 6, 0);
-        let run = |world: &mut World| {
+fn a_model_whose_only_replica_is_rate_limited_below_its_demand_gets_another_replica() {
+    let replicas_with_limit = |limit: Option<f64>| {
+        let mut simulation = Simulation::new(11, 6, 0);
+        let run = |simulation: &mut Simulation| {
             for _ in 0..750 {
-                let mut small = demand("m0", 1, 0, 500);
-                small.tokens = 100;
-                world.step(&[small]);
+                let mut wanted = demand("m0", 1, 0, 500);
+                wanted.tokens = 100;
+                simulation.step(&[wanted]);
             }
         };
-        run(&mut world);
-        let holders = world.runners.iter();
-        let holders = holders.filter(|(_, runner)| runner.models.contains_key("m0"));
+        run(&mut simulation);
+        let holders = simulation.instances.iter();
+        let holders = holders.filter(|(_, instance)| instance.models.contains_key("m0"));
         let holders: Vec<RunnerId> = holders.map(|(id, _)| id.clone()).collect();
         assert_eq!(holders.len(), 1);
         let limits = limit.map(|limit| (holders[0].clone(), limit));
-        world.engine.set_limits(limits.into_iter().collect());
-        run(&mut world);
-        world.copies("m0")
+        simulation.engine.set_limits(limits.into_iter().collect());
+        run(&mut simulation);
+        simulation.replicas("m0")
     };
-    assert_eq!(copies_with(None), 1);
-    assert_eq!(copies_with(Some(1e6)), 1, "it takes all that is asked for");
-    assert_eq!(copies_with(Some(0.5)), 2);
+    assert_eq!(replicas_with_limit(None), 1);
+    assert_eq!(
+        replicas_with_limit(Some(1e6)),
+        1,
+        "the limit is above the demand"
+    );
+    assert_eq!(replicas_with_limit(Some(0.5)), 2);
 }
 
+/// A registration that was delayed on its way arrives after its sender has crashed and another
+/// incarnation has registered at the same address.
 #[test]
-fn a_late_registration_of_an_earlier_incarnation_changes_nothing() {
+fn a_delayed_registration_of_an_earlier_incarnation_is_ignored() {
     for silent_for in [2_000, 60_000] {
         let mut engine = PlacementEngine::new(PlacementSettings::default());
         engine.register(registration("before", 7), Timestamp(1_000));
@@ -338,66 +373,79 @@
     engine.register(registration("cut off", 7), Timestamp(1_000));
     engine.expire(Timestamp(60_000));
     engine.register(registration("cut off", 8), Timestamp(61_000));
-    assert_eq!(engine.count(), 1, "nobody took its address");
+    assert_eq!(
+        engine.count(),
+        1,
+        "no other instance registered at its address"
+    );
 }
 
-/// An instance that was not heard for a moment is not shut out by a registration of its
-/// predecessor that was held up.
+/// An instance that was silent for a short time stays registered when a delayed registration of its
+/// predecessor at the same address arrives.
 #[test]
-fn a_late_registration_shuts_nobody_out() {
+fn a_delayed_registration_does_not_displace_the_live_instance() {
     for silent_for in [3_000, 60_000] {
         let mut engine = PlacementEngine::new(PlacementSettings::default());
         engine.register(registration("live", 1), Timestamp(1_000));
         let now = 1_000 + silent_for;
         engine.expire(Timestamp::at(now));
         engine.register(registration("held up", 9), Timestamp::at(now));
-        for beat in 1..=3 {
-            let at = Timestamp::at(now + beat * 1_200);
-            engine.register(registration("live", 1 + beat), at);
+        for number in 1..=3 {
+            let at = Timestamp::at(now + number * 1_200);
+            engine.register(registration("live", 1 + number), at);
         }
         assert_eq!(engine.ids(), [RunnerId::from("live")], "{silent_for}");
     }
 }
 
-/// The leader calls an instance about its orders; one that asks for rest is not called, and
-/// what it was to load is loaded elsewhere.
+/// The leader sends no order to an instance in backoff, and the model that the instance was
+/// reserved for is loaded on another one.
 #[test]
-fn an_instance_that_asks_for_rest_is_given_no_orders_until_its_end() {
-    const REST: u64 = 4_000;
-    let mut world = World::new(9, 2, 0);
-    world.step(&[]);
-    let resting = RunnerId::from("r0");
-    let now = Timestamp::at(world.now);
-    world.engine.start_backoff(&resting, Millis(REST), now);
-    let ends = world.now + REST;
-    let before = world.runners[&resting].sequence;
-    while world.now + 10 < ends {
-        world.step(&[demand("m7", 1, 1, 500)]);
-        assert_eq!(world.runners[&resting].sequence, before, "at {}", world.now);
+fn an_instance_in_backoff_gets_no_orders_until_the_backoff_ends() {
+    const BACKOFF: u64 = 4_000;
+    let mut simulation = Simulation::new(9, 2, 0);
+    simulation.step(&[]);
+    let backed_off = RunnerId::from("r0");
+    let now = Timestamp::at(simulation.now);
+    simulation
+        .engine
+        .start_backoff(&backed_off, Millis(BACKOFF), now);
+    let backoff_end = simulation.now + BACKOFF;
+    let before = simulation.instances[&backed_off].sequence;
+    while simulation.now + 10 < backoff_end {
+        simulation.step(&[demand("m7", 1, 1, 500)]);
+        assert_eq!(
+            simulation.instances[&backed_off].sequence, before,
+            "at {}",
+            simulation.now
+        );
     }
-    assert!(world.runners[&RunnerId::from("r1")].sequence > 0);
+    assert!(simulation.instances[&RunnerId::from("r1")].sequence > 0);
     for _ in 0..300 {
-        world.step(&[demand("m6", 1, 1, 500)]);
+        simulation.step(&[demand("m6", 1, 1, 500)]);
     }
     assert!(
-        world.runners[&resting].sequence > before,
-        "its rest is over"
+        simulation.instances[&backed_off].sequence > before,
+        "its backoff is over"
     );
 }
 
 #[test]
-fn what_an_instance_says_in_answers_counts_once() {
-    let mut world = World::new(10, 2, 0);
-    world.step(&[]);
+fn a_leaving_notice_in_an_answer_is_applied_once() {
+    let mut simulation = Simulation::new(10, 2, 0);
+    simulation.step(&[]);
     let id = RunnerId::from("r0");
-    world.register(&id);
-    assert!(world.engine.mark_leaving_if_ready(&id));
-    assert!(!world.engine.mark_leaving_if_ready(&id));
+    simulation.register(&id);
+    assert!(simulation.engine.mark_leaving_if_ready(&id));
+    assert!(!simulation.engine.mark_leaving_if_ready(&id));
     assert!(
-        !world
+        !simulation
             .engine
             .mark_leaving_if_ready(&RunnerId::from("unknown"))
     );
-    world.register(&id);
-    assert!(!world.engine.is_ready(&id), "its registration says ready");
+    simulation.register(&id);
+    assert!(
+        !simulation.engine.is_ready(&id),
+        "a later registration made it ready again"
+    );
 }
