--- a/crates/services/tests/placement_world/mod.rs
+++ b/crates/services/tests/placement_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A model of instances that a placement engine gives orders to.
+//! Simulation of instances that carry out the orders of a placement engine.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -25,7 +25,7 @@
     configuration_with_disks(0.0)
 }
 
-/// The same with so much disk for copies at each instance, in MB.
+/// The same configuration with this much disk for cached weights on each instance, in MB.
 pub fn configuration_with_disks(disk_mb: f64) -> Arc<ServiceConfiguration> {
     let models = (0..MODELS).map(|number| ModelSpecification {
         name: ModelName::from(format!("m{number}")),
@@ -56,36 +56,37 @@
     })
 }
 
-/// What an instance really does with orders.
+/// An instance that carries out orders.
 #[derive(Debug, Default)]
-pub struct Runner {
+pub struct SimulatedInstance {
     pub models: BTreeMap<String, Vec<String>>,
     pub busy: Option<(OrderAction, u64)>,
     pub sequence: u64,
-    pub beat: u64,
-    /// Models with a copy on disk, the one used longest ago first.
+    pub registrations: u64,
+    /// Models cached on disk, the least recently used first.
     pub disk: Vec<String>,
-    /// Room for these.
-    pub disk_copies: usize,
+    /// Maximum number of models cached on disk.
+    pub disk_slots: usize,
 }
 
-impl Runner {
-    /// Keeps a copy of a model on disk.
-    pub fn keep(&mut self, model: &str) {
+impl SimulatedInstance {
+    /// Caches the weights of a model on disk.
+    pub fn cache_on_disk(&mut self, model: &str) {
         self.disk.retain(|one| one != model);
         self.disk.push(model.to_owned());
-        let over = self.disk.len().saturating_sub(self.disk_copies);
-        self.disk.drain(..over);
+        let excess = self.disk.len().saturating_sub(self.disk_slots);
+        self.disk.drain(..excess);
     }
 
     pub fn used_mb(&self) -> f64 {
         let adapters: usize = self.models.values().map(Vec::len).sum();
-        let coming = matches!(&self.busy, Some((OrderAction::LoadModel(_), _)));
-        (self.models.len() + usize::from(coming)) as f64 * MODEL_MB + adapters as f64
+        let loading = matches!(&self.busy, Some((OrderAction::LoadModel(_), _)));
+        (self.models.len() + usize::from(loading)) as f64 * MODEL_MB + adapters as f64
     }
 
-    /// Takes an order as the platform's pages say; fails on what overfills it.
-    pub fn take(&mut self, order: &Order, now: u64, store_load_time: u64) -> OrderOutcome {
+    /// Applies an order according to the platform's specification; panics if it overfills the
+    /// instance.
+    pub fn accept(&mut self, order: &Order, now: u64, store_load_time: u64) -> OrderOutcome {
         if order.expected_sequence != self.sequence || self.busy.is_some() {
             return OrderOutcome::Conflict;
         }
@@ -94,7 +95,7 @@
             OrderAction::LoadModel(model) => {
                 assert!(
                     !self.models.contains_key(model.as_str()),
-                    "{order:?} is held"
+                    "{order:?} is for a model that is already held"
                 );
                 let time = match self.disk.iter().any(|one| one == model.as_str()) {
                     true => DISK_LOAD_TIME,
@@ -113,7 +114,10 @@
                 let adapters = self.models.get_mut(model.as_str());
                 adapters.expect("the model is held").push(adapter.clone());
                 let count: usize = self.models.values().map(Vec::len).sum();
-                assert!(count <= ADAPTER_SLOTS as usize, "adapters: {self:?}");
+                assert!(
+                    count <= ADAPTER_SLOTS as usize,
+                    "too many adapters: {self:?}"
+                );
             }
             OrderAction::UnloadAdapter(model, adapter) => {
                 let adapters = self.models.get_mut(model.as_str());
@@ -127,11 +131,11 @@
     }
 
     pub fn advance(&mut self, now: u64) -> bool {
-        let done = self.busy.as_ref().is_some_and(|(_, due)| *due <= now);
-        if done && let Some((action, _)) = self.busy.take() {
+        let is_done = self.busy.as_ref().is_some_and(|(_, due)| *due <= now);
+        if is_done && let Some((action, _)) = self.busy.take() {
             match action {
                 OrderAction::LoadModel(model) => {
-                    self.keep(model.as_str());
+                    self.cache_on_disk(model.as_str());
                     self.models.insert(model.0, Vec::new());
                 }
                 OrderAction::UnloadModel(model) => {
@@ -140,7 +144,7 @@
                 _ => {}
             }
         }
-        done
+        is_done
     }
 
     pub fn held(&self) -> Vec<ResidentModel> {
@@ -153,73 +157,72 @@
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub engine: PlacementEngine,
-    pub runners: BTreeMap<RunnerId, Runner>,
+    pub instances: BTreeMap<RunnerId, SimulatedInstance>,
     pub random: Pcg32,
-    pub late: Vec<(u64, Order)>,
+    pub late_orders: Vec<(u64, Order)>,
     pub loads: Vec<u64>,
-    /// Models of these loads.
-    pub loaded: Vec<ModelName>,
-    /// When orders were given, taken or lost.
-    pub given: Vec<u64>,
-    pub lost_share: u32,
-    /// Instances that orders can't be sent to, though they register.
+    /// Models of the entries of `loads`.
+    pub loaded_models: Vec<ModelName>,
+    /// Times at which orders were sent, including those that were lost.
+    pub sent_at: Vec<u64>,
+    pub lost_percent: u32,
+    /// Instances that orders cannot be sent to although they register.
     pub unreachable: BTreeSet<RunnerId>,
-    /// Loads that the store serves at full speed; beyond it each takes
+    /// Number of concurrent loads that the store serves at full speed; beyond it each load takes
     /// proportionally longer.
-    pub store_at_once: usize,
-    /// Loads from the store so far: when, of which model, how many at once.
+    pub store_capacity: usize,
+    /// Loads from the store so far: start time, model, and number of concurrent loads.
     pub store_loads: Vec<(u64, ModelName, usize)>,
-    /// Orders that their instance refused: it had another under way, or had
-    /// taken one that the engine doesn't know of.
+    /// Orders that their instance refused, because another order was in progress or because it had
+    /// accepted one that the engine did not count.
     pub conflicts: usize,
-    /// Milliseconds between rounds, and between those for what requests wait for, if there are
-    /// any.
-    pub plans_every: u64,
-    pub plans_waited_every: Option<u64>,
-    /// What the engine told.
+    /// Milliseconds between full rounds, and between rounds for waiting requests, if there are any.
+    pub full_round_interval: u64,
+    pub waiting_round_interval: Option<u64>,
+    /// Events of the engine.
     pub events: Vec<PlacementEvent>,
     pub now: u64,
 }
 
-impl World {
-    pub fn new(seed: u64, runners: usize, lost_share: u32) -> Self {
-        // Demands of the tests are sized for this part.
+impl Simulation {
+    pub fn new(seed: u64, instance_count: usize, lost_percent: u32) -> Self {
+        // The demands in the tests are sized for this fraction.
         let settings = PlacementSettings {
             replica_utilisation: 0.25,
             ..PlacementSettings::default()
         };
         let mut engine = PlacementEngine::new(settings);
         engine.configure(configuration(), Timestamp(0));
-        let mut world = Self {
+        let mut simulation = Self {
             engine,
-            runners: BTreeMap::new(),
+            instances: BTreeMap::new(),
             random: Pcg32::seed_from_u64(seed),
-            late: Vec::new(),
+            late_orders: Vec::new(),
             loads: Vec::new(),
-            loaded: Vec::new(),
-            given: Vec::new(),
-            lost_share,
+            loaded_models: Vec::new(),
+            sent_at: Vec::new(),
+            lost_percent,
             unreachable: BTreeSet::new(),
-            store_at_once: usize::MAX,
+            store_capacity: usize::MAX,
             store_loads: Vec::new(),
             conflicts: 0,
-            plans_every: 50,
-            plans_waited_every: None,
+            full_round_interval: 50,
+            waiting_round_interval: None,
             events: Vec::new(),
             now: 0,
         };
-        for number in 0..runners {
-            let mut runner = Runner::default();
-            runner
+        for number in 0..instance_count {
+            let mut instance = SimulatedInstance::default();
+            instance
                 .models
                 .insert(format!("m{}", number % MODELS), Vec::new());
-            world
-                .runners
-                .insert(RunnerId::from(format!("r{number}")), runner);
+            simulation
+                .instances
+                .insert(RunnerId::from(format!("r{number}")), instance);
         }
-        world
+        simulation
     }
 
     pub fn draw(&mut self, below: u32) -> u32 {
@@ -227,8 +230,8 @@
     }
 
     pub fn register(&mut self, id: &RunnerId) {
-        let runner = self.runners.get_mut(id).expect("a runner");
-        runner.beat += 1;
+        let instance = self.instances.get_mut(id).expect("the instance exists");
+        instance.registrations += 1;
         let registration = Registration {
             id: id.clone(),
             service: "s".to_owned(),
@@ -236,12 +239,12 @@
             zone: Zone::from("z"),
             slots: 64,
             state: InstanceState::Ready,
-            sequence: runner.beat,
+            sequence: instance.registrations,
             remaining: None,
-            models: runner.held(),
+            models: instance.held(),
             copies: WeightCopies {
                 in_memory: Vec::new(),
-                on_disk: runner
+                on_disk: instance
                     .disk
                     .iter()
                     .map(|one| ModelName::from(one.as_str()))
@@ -251,19 +254,26 @@
         self.engine.register(registration, Timestamp::at(self.now));
     }
 
-    /// One step of 10 ms.
+    /// Simulates 10 ms.
     pub fn step(&mut self, demand: &[ModelDemand]) {
         self.now += 10;
         let now = self.now;
-        let due: Vec<(u64, Order)> = self.late.extract_if(.., |(at, _)| *at <= now).collect();
+        let due: Vec<(u64, Order)> = self
+            .late_orders
+            .extract_if(.., |(at, _)| *at <= now)
+            .collect();
         for (_, order) in due {
-            let outcome = self.take(&order);
-            self.count(&order, outcome);
+            let outcome = self.deliver(&order);
+            self.record_load(&order, outcome);
         }
-        let ids: Vec<RunnerId> = self.runners.keys().cloned().collect();
+        let ids: Vec<RunnerId> = self.instances.keys().cloned().collect();
         for (number, id) in ids.iter().enumerate() {
-            let done = self.runners.get_mut(id).expect("a runner").advance(now);
-            if done || now % 1_200 == (number as u64 * 30 + 10) % 1_200 {
+            let is_done = self
+                .instances
+                .get_mut(id)
+                .expect("the instance exists")
+                .advance(now);
+            if is_done || now % 1_200 == (number as u64 * 30 + 10) % 1_200 {
                 self.register(id);
             }
         }
@@ -271,80 +281,85 @@
             self.engine
                 .report_usage("router", Vec::new(), demand, Timestamp::at(now));
         }
-        let plans_waited = self.plans_waited_every;
-        if now.is_multiple_of(self.plans_every) {
+        let waiting_round_interval = self.waiting_round_interval;
+        if now.is_multiple_of(self.full_round_interval) {
             let steps = self.engine.plan(Timestamp::at(now));
-            self.carry_out_all(steps);
-        } else if plans_waited.is_some_and(|every| now.is_multiple_of(every))
+            self.apply_steps(steps);
+        } else if waiting_round_interval.is_some_and(|every| now.is_multiple_of(every))
             && self.engine.needs_waiting_round()
         {
             let steps = self.engine.plan_for_waiting(Timestamp::at(now));
-            self.carry_out_all(steps);
+            self.apply_steps(steps);
         }
     }
 
-    fn carry_out_all(&mut self, steps: Vec<PlacementStep>) {
+    fn apply_steps(&mut self, steps: Vec<PlacementStep>) {
         self.events.extend(self.engine.take_events());
         for step in steps {
-            self.carry_out(step);
+            self.apply_step(step);
         }
     }
 
-    /// Gives an order to its instance.
-    fn take(&mut self, order: &Order) -> OrderOutcome {
-        let at_once = 1 + self.loads_from_store();
-        let time = match self.store_at_once {
+    /// Delivers an order to its instance.
+    fn deliver(&mut self, order: &Order) -> OrderOutcome {
+        let concurrency = 1 + self.loads_from_store();
+        let time = match self.store_capacity {
             usize::MAX => LOAD_TIME,
-            limit => LOAD_TIME * at_once.max(limit) as u64 / limit as u64,
+            limit => LOAD_TIME * concurrency.max(limit) as u64 / limit as u64,
         };
-        let runner = self.runners.get_mut(&order.instance).expect("a runner");
+        let instance = self
+            .instances
+            .get_mut(&order.instance)
+            .expect("the instance exists");
         let model = order.action.model();
         let from_store = matches!(order.action, OrderAction::LoadModel(_))
-            && !runner.disk.iter().any(|one| one == model.as_str());
-        let outcome = runner.take(order, self.now, time);
+            && !instance.disk.iter().any(|one| one == model.as_str());
+        let outcome = instance.accept(order, self.now, time);
         self.conflicts += usize::from(outcome == OrderOutcome::Conflict);
         if from_store && outcome == OrderOutcome::Accepted {
-            self.store_loads.push((self.now, model.clone(), at_once));
+            self.store_loads
+                .push((self.now, model.clone(), concurrency));
         }
         outcome
     }
 
-    /// Loads from the store under way.
+    /// Loads from the store in flight.
     pub fn loads_from_store(&self) -> usize {
-        let busy = self.runners.values();
-        let loads = busy.filter(|one| match &one.busy {
+        let instances = self.instances.values();
+        let loads = instances.filter(|one| match &one.busy {
             Some((OrderAction::LoadModel(model), _)) => {
-                !one.disk.iter().any(|copy| copy == model.as_str())
+                !one.disk.iter().any(|cached| cached == model.as_str())
             }
             _ => false,
         });
         loads.count()
     }
 
-    /// Gives every instance a disk for so many copies, with what it holds on it.
-    pub fn give_disks(&mut self, copies: usize) {
-        let room = copies as f64 * MODEL_MB;
-        let configuration = configuration_with_disks(room);
+    /// Gives every instance a disk for this number of models, with the models that it holds cached
+    /// on it.
+    pub fn add_disks(&mut self, disk_slots: usize) {
+        let disk_mb = disk_slots as f64 * MODEL_MB;
+        let configuration = configuration_with_disks(disk_mb);
         let now = Timestamp::at(self.now);
         self.engine.configure(configuration, now);
-        for runner in self.runners.values_mut() {
-            runner.disk_copies = copies;
-            let held: Vec<String> = runner.models.keys().cloned().collect();
+        for instance in self.instances.values_mut() {
+            instance.disk_slots = disk_slots;
+            let held: Vec<String> = instance.models.keys().cloned().collect();
             for model in held {
-                runner.keep(&model);
+                instance.cache_on_disk(&model);
             }
         }
     }
 
-    pub fn carry_out(&mut self, step: PlacementStep) {
+    pub fn apply_step(&mut self, step: PlacementStep) {
         let now = self.now;
         match step {
             PlacementStep::QueryInstance { instance, .. } => {
-                let runner = self.runners.get(&instance).expect("a runner");
+                let simulated = self.instances.get(&instance).expect("the instance exists");
                 let report = InstanceReport {
-                    models: runner.held(),
-                    busy: runner.busy.is_some(),
-                    sequence: runner.sequence,
+                    models: simulated.held(),
+                    busy: simulated.busy.is_some(),
+                    sequence: simulated.sequence,
                     pending: Vec::new(),
                     started: None,
                     cached_weights: None,
@@ -353,43 +368,43 @@
                     .on_report(&instance, Some(report), Timestamp::at(now));
             }
             PlacementStep::SendOrder(order) => {
-                self.given.push(now);
+                self.sent_at.push(now);
                 if self.unreachable.contains(&order.instance) {
                     let outcome = OrderOutcome::Unreachable;
                     self.engine.on_outcome(&order, outcome, Timestamp::at(now));
                     return;
                 }
-                if self.draw(100) < self.lost_share {
+                if self.draw(100) < self.lost_percent {
                     let delay = u64::from(2_000 + self.draw(10_000));
-                    self.late.push((now + delay, order.clone()));
+                    self.late_orders.push((now + delay, order.clone()));
                     let outcome = OrderOutcome::Unknown;
                     self.engine.on_outcome(&order, outcome, Timestamp::at(now));
                     return;
                 }
-                let outcome = self.take(&order);
-                self.count(&order, outcome);
+                let outcome = self.deliver(&order);
+                self.record_load(&order, outcome);
                 self.engine.on_outcome(&order, outcome, Timestamp::at(now));
             }
         }
     }
 
-    /// Counts a load that begins.
-    pub fn count(&mut self, order: &Order, outcome: OrderOutcome) {
+    /// Records a load that starts.
+    pub fn record_load(&mut self, order: &Order, outcome: OrderOutcome) {
         let loads = matches!(order.action, OrderAction::LoadModel(_));
         if loads && outcome == OrderOutcome::Accepted {
             self.loads.push(self.now);
-            self.loaded.push(order.action.model().clone());
+            self.loaded_models.push(order.action.model().clone());
         }
     }
 
-    /// Loads of a model that have begun.
-    pub fn loads_of(&self, model: &str) -> usize {
-        let loaded = self.loaded.iter();
+    /// Number of loads of a model that have started.
+    pub fn load_count(&self, model: &str) -> usize {
+        let loaded = self.loaded_models.iter();
         loaded.filter(|name| name.as_str() == model).count()
     }
 
-    pub fn copies(&self, model: &str) -> usize {
-        let holders = self.runners.values();
+    pub fn replicas(&self, model: &str) -> usize {
+        let holders = self.instances.values();
         holders.filter(|one| one.models.contains_key(model)).count()
     }
 }
--- a/crates/services/tests/plain_spread.rs
+++ b/crates/services/tests/plain_service_balance.rs
@@ -1,7 +1,7 @@
-//! 1,000 routers before 360 instances of a plain service, each router with a request in half
-//! a minute: all instances look idle to all of them. Of 360 instances 171 had no request in a
-//! whole day, the busiest 5.3 times the mean: routers that know nothing of an instance all
-//! began with the same one.
+//! 1,000 routers in front of 360 instances of a plain service, with one request per router in half
+//! a minute, so that all instances appear idle to all routers. Routers without load reports all
+//! started with the same instance: 171 of the 360 had no request in a whole day, and the busiest one
+//! had 5.3 times the mean.
 
 use courseshunt_services::{
     Candidate, InstanceState, InstanceUsage, InstanceView, PromptShape, Selector,
@@ -15,21 +15,22 @@
 const INSTANCES: usize = 360;
 const ZONES: usize = 4;
 const SLOTS: u32 = 6;
-/// Mean number of requests of an instance that is played.
-const REQUESTS_EACH: u64 = 40;
-/// Requests that come in a millisecond, of 1,000: 34 a second at all routers.
-const ARRIVALS: u64 = 34;
-const RUN: Millis = Millis(40);
-/// Routers learn of each other's requests so often, and so late.
-const TOLD_EVERY: Millis = Millis(500);
-const OWN_LIMIT: u32 = 2;
+/// Mean number of simulated requests per instance.
+const REQUESTS_PER_INSTANCE: u64 = 40;
+/// Probability of an arrival per millisecond, in thousandths: 34 requests per second over all
+/// routers.
+const ARRIVALS_PER_1000_MS: u64 = 34;
+const REQUEST_DURATION: Millis = Millis(40);
+/// Interval between the usage reports that routers receive, and the age of their content.
+const USAGE_REPORT_INTERVAL: Millis = Millis(500);
+const ROUTER_LIMIT: u32 = 2;
 
 #[derive(Debug)]
 struct Outcome {
-    /// Requests of the busiest instance, over the mean.
+    /// Requests of the busiest instance, relative to the mean.
     busiest: f64,
     unused: usize,
-    /// Times that an instance had more requests than slots while another stood idle.
+    /// Number of requests that were sent to an instance without a free slot.
     overfull: usize,
 }
 
@@ -60,7 +61,7 @@
     candidate: Candidate,
 }
 
-fn play(seed: u64) -> Outcome {
+fn simulate(seed: u64) -> Outcome {
     let mut random = Pcg64::seed_from_u64(seed);
     let views = views();
     let mut routers: Vec<Selector> = (0..ROUTERS).map(selector).collect();
@@ -69,30 +70,30 @@
     let mut overfull = 0;
     let shape = PromptShape::default();
     let (mut now, mut requests) = (Timestamp(1), 0);
-    while requests < REQUESTS_EACH * INSTANCES as u64 {
+    while requests < REQUESTS_PER_INSTANCE * INSTANCES as u64 {
         now = now + Millis(1);
-        while let Some(place) = running.iter().position(|one| one.ends <= now) {
-            let one = running.swap_remove(place);
-            routers[one.router].first_answer(&one.candidate, RUN, true);
+        while let Some(index) = running.iter().position(|one| one.ends <= now) {
+            let one = running.swap_remove(index);
+            routers[one.router].first_answer(&one.candidate, REQUEST_DURATION, true);
             routers[one.router].end(&one.candidate, true);
         }
-        if now.stretch_begin(TOLD_EVERY) == now {
-            tell(&running, &mut routers, now);
+        if now.stretch_begin(USAGE_REPORT_INTERVAL) == now {
+            report_usage(&running, &mut routers, now);
         }
-        if random.next_u64() % 1_000 >= ARRIVALS {
+        if random.next_u64() % 1_000 >= ARRIVALS_PER_1000_MS {
             continue;
         }
         requests += 1;
         let router = usize::try_from(random.next_u64() % ROUTERS).expect("small");
-        let chosen = routers[router].choose(&shape, views.iter(), &[], OWN_LIMIT, now);
+        let chosen = routers[router].choose(&shape, views.iter(), &[], ROUTER_LIMIT, now);
         let candidate = chosen.expect("an instance");
         routers[router].begin(&candidate, &shape, now);
         *sent.entry(candidate.instance.clone()).or_default() += 1;
-        let at_it = running
+        let at_instance = running
             .iter()
             .filter(|one| one.candidate.instance == candidate.instance);
-        overfull += usize::from(at_it.count() >= SLOTS as usize);
-        let ends = now + RUN;
+        overfull += usize::from(at_instance.count() >= SLOTS as usize);
+        let ends = now + REQUEST_DURATION;
         running.push(Running {
             router,
             ends,
@@ -101,14 +102,14 @@
     }
     let busiest = sent.values().max().copied().unwrap_or(0);
     Outcome {
-        busiest: busiest as f64 / REQUESTS_EACH as f64,
+        busiest: busiest as f64 / REQUESTS_PER_INSTANCE as f64,
         unused: INSTANCES - sent.len(),
         overfull,
     }
 }
 
-/// Tells all routers what all have under way.
-fn tell(running: &[Running], routers: &mut [Selector], now: Timestamp) {
+/// Reports the requests in flight of all routers to each router.
+fn report_usage(running: &[Running], routers: &mut [Selector], now: Timestamp) {
     let mut usage: BTreeMap<RunnerId, u32> = BTreeMap::new();
     for one in running {
         *usage.entry(one.candidate.instance.clone()).or_default() += 1;
@@ -122,14 +123,14 @@
         });
     let usage: Vec<InstanceUsage> = usage.collect();
     for router in routers {
-        router.set_usage(&usage, TOLD_EVERY, now);
+        router.set_usage(&usage, USAGE_REPORT_INTERVAL, now);
     }
 }
 
 #[test]
-fn routers_that_know_nothing_of_plain_instances_spread_over_them() {
+fn routers_without_load_reports_balance_over_plain_instances() {
     for seed in 1..=2 {
-        let outcome = play(seed);
+        let outcome = simulate(seed);
         assert!(outcome.busiest <= 2.0, "{outcome:?}");
         assert_eq!(outcome.unused, 0, "{outcome:?}");
         assert_eq!(outcome.overfull, 0, "{outcome:?}");
