--- a/crates/coordinator/src/interface.rs
+++ b/crates/coordinator/src/interface.rs
@@ -76,10 +76,10 @@
     fn order_outcome(&self, status: StatusCode) -> OrderOutcome;
 
     /// Whether the headers of an instance's answer say that it leaves.
-    fn says_leaving(&self, headers: &HeaderMap) -> bool;
+    fn reports_leaving(&self, headers: &HeaderMap) -> bool;
 
     /// The limit that the headers of an instance's answer name.
-    fn named_limit(&self, headers: &HeaderMap) -> NamedLimit;
+    fn read_limit(&self, headers: &HeaderMap) -> NamedLimit;
 
     /// The call that asks an instance how it stands.
     fn report_call(&self, instance: &RunnerId) -> InstanceCall;
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -66,13 +66,13 @@
     let Some(reply) = reply else {
         return;
     };
-    if shared.interface.says_leaving(&reply.headers) {
+    if shared.interface.reports_leaving(&reply.headers) {
         let leaving = std::slice::from_ref(instance);
         take_leaving(&shared.settings.name, leaving, shared);
     }
     // Another instance that answers at the address speaks for itself.
     if reply.status != StatusCode::MISDIRECTED_REQUEST
-        && let NamedLimit::Rate(rate) = shared.interface.named_limit(&reply.headers)
+        && let NamedLimit::Rate(rate) = shared.interface.read_limit(&reply.headers)
     {
         limits::heard(instance, rate, shared);
     }
