--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -3,7 +3,7 @@
 use crate::Shared;
 use crate::interface::ControlCall;
 use crate::records::ControllerRecord;
-use crate::taking::{self, Taking, TakingView};
+use crate::registration_admission::{self, Taking, TakingView};
 use bytes::Bytes;
 use courseshunt_controller::ProposeError;
 use courseshunt_http::{Body, full_body, read_limited, text_response};
@@ -186,7 +186,7 @@
     let leads = shared.replica.leads();
     if !leads {
         shared.relay.offer(registration, now);
-        return taking::decide(TakingView {
+        return registration_admission::decide(TakingView {
             leads,
             hears_leader: shared.replica.status().borrow().leader.is_some(),
             out_of_reach_for: shared.relay.out_of_reach_for(now),
--- a/crates/coordinator/src/feed.rs
+++ b/crates/coordinator/src/feed.rs
@@ -4,9 +4,9 @@
 //! what a router hears is the age of the leader's word, by however many hands it came.
 
 use crate::records::ControllerRecord;
-use crate::router_book::Way;
+use crate::router_registry::Way;
 use crate::sessions::{SESSION_QUEUE, Session};
-use crate::{Shared, accept, member_thread, places, relay, reports};
+use crate::{Shared, accept, member_thread, member_zones, relay, reports};
 use courseshunt_records::emit;
 use courseshunt_services::{
     FeedMessage, InstanceDigests, RelayedReport, ReportMessage, RouterNews,
@@ -81,7 +81,7 @@
         ..
     } = connection;
     // First: there may be a controller nearer to the router.
-    send(&mut sender, places::told(shared).await).await?;
+    send(&mut sender, member_zones::told(shared).await).await?;
     let Some(Message::ServiceReport(ReportMessage::Subscribe {
         number: configuration,
         known,
@@ -205,7 +205,7 @@
             }
             Message::FollowLeader { zone, known } => {
                 if shared.places.note(address, &zone) {
-                    shared.sessions.broadcast(places::told(shared).await);
+                    shared.sessions.broadcast(member_zones::told(shared).await);
                 }
                 return feed_controller(sender, receiver, peer, &known, shared).await;
             }
@@ -230,7 +230,7 @@
     let connection = rand::random();
     let (queue, messages) = mpsc::channel(SESSION_QUEUE);
     let (answers, answer_queue) = mpsc::channel(ANSWER_QUEUE);
-    send(&mut sender, places::told(shared).await).await?;
+    send(&mut sender, member_zones::told(shared).await).await?;
     // Told once when this leader began; without it the routers there would go on sending
     // requests to instances that left before, until this leader has heard from all others.
     let gone = unknown_leaving(shared);
--- a/crates/coordinator/src/lead.rs
+++ b/crates/coordinator/src/leader_loop.rs
@@ -1,14 +1,14 @@
 //! The leader's loop: configuration, placement, feeds and membership.
 
-use crate::lead_step::{self, LeadStep};
+use crate::leader_step::{self, LeadStep};
 use crate::members::MembersKeeper;
-use crate::order_turn::{self, OrderTurn, TurnView};
+use crate::order_permission::{self, OrderTurn, TurnView};
 use crate::plan_pace::{PlanPace, PlanRound};
 use crate::records::{self, ControllerRecord};
-use crate::router_book::Way;
+use crate::router_registry::Way;
 use crate::{
-    Shared, inheritance, limits, orders, placement_settings, quarantine, quota_settings, reports,
-    sessions, upstream,
+    Shared, instance_persistence, limits, orders, placement_settings, quarantine, quota_settings,
+    reports, sessions, upstream,
 };
 use courseshunt_records::emit;
 use courseshunt_services::feed::{instances_interval, usage_interval};
@@ -88,7 +88,7 @@
             status.leads().then_some(status.term)
         };
         let held = leadership.as_ref().map(|leadership| leadership.term);
-        match lead_step::decide(leads, held) {
+        match leader_step::decide(leads, held) {
             LeadStep::Wait => {
                 let _ = status.changed().await;
                 continue;
@@ -216,7 +216,7 @@
     leadership.taken_over = true;
     let recorded = shared.replica.state().services.quarantined.clone();
     shared.quarantine().seed(&recorded, now);
-    inheritance::seed_instances(shared, now).await;
+    instance_persistence::seed_instances(shared, now).await;
     let term = leadership.term.0;
     let settled = false;
     shared.sessions.lead(sessions::Leadership { term, settled });
@@ -287,7 +287,7 @@
         }
         _ => BTreeSet::new(),
     };
-    let decided = order_turn::decide(&TurnView {
+    let decided = order_permission::decide(&TurnView {
         own,
         holder,
         caught_up: leadership.turn.caught_up.load(Ordering::Relaxed),
@@ -447,7 +447,7 @@
     let gone: Vec<RunnerId> = std::mem::take(gone).into_iter().collect();
     let (shared, recording) = (shared.clone(), leadership.recording.clone());
     tokio::spawn(async move {
-        inheritance::record_all(&changed, &gone, &shared).await;
+        instance_persistence::record_all(&changed, &gone, &shared).await;
         recording.store(false, Ordering::Relaxed);
     });
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -10,31 +10,31 @@
 mod accept;
 mod api;
 pub mod configuration_feed;
+mod configuration_rollout;
 mod error;
 mod feed;
 mod identity;
-mod inheritance;
+mod instance_persistence;
 mod interface;
 mod join;
-mod lead;
-pub mod lead_step;
 mod leader_link;
+mod leader_loop;
+pub mod leader_step;
 mod limits;
 mod member_thread;
+mod member_zones;
 mod members;
 mod metrics;
-pub mod order_turn;
+pub mod order_permission;
 mod orders;
-mod places;
 pub mod plan_pace;
 mod quarantine;
 mod records;
+pub mod registration_admission;
 mod relay;
 mod reports;
-pub mod router_book;
+pub mod router_registry;
 mod sessions;
-mod spreading;
-pub mod taking;
 mod upstream;
 
 pub use error::CoordinatorError;
@@ -58,7 +58,7 @@
 use error::{BindSnafu, MemberThreadSnafu, ReplicaSnafu};
 use metrics::{Metrics, Present};
 use records::ControllerRecord;
-use router_book::RouterBook;
+use router_registry::RouterBook;
 use sessions::Sessions;
 use snafu::{OptionExt, ResultExt};
 use std::collections::BTreeMap;
@@ -87,7 +87,7 @@
     /// Reports of routers on their way to the leader.
     pub(crate) upstream: upstream::Upstream,
     /// In which zones the members are.
-    pub(crate) places: places::Places,
+    pub(crate) places: member_zones::Places,
     /// The routers of the fleet, while this member leads.
     routers: Mutex<RouterBook>,
     /// Calls to instances that are under way at once.
@@ -316,7 +316,7 @@
             clock,
             sessions: Sessions::default(),
             upstream: upstream::Upstream::default(),
-            places: places::Places::default(),
+            places: member_zones::Places::default(),
             routers: Mutex::default(),
             calls: Semaphore::new(orders::CALLS_AT_ONCE),
             relay: relay::Relay::default(),
@@ -351,9 +351,9 @@
         spawn(Box::pin(feed::accept_all(wire, shared.clone())));
         spawn(Box::pin(upstream::run(shared.clone())));
         spawn(Box::pin(upstream::keep_routers(shared.clone())));
-        spawn(Box::pin(spreading::follow(shared.clone())));
+        spawn(Box::pin(configuration_rollout::follow(shared.clone())));
         spawn(Box::pin(join::keep_joined(shared.clone())));
-        spawn(Box::pin(lead::run(shared.clone())));
+        spawn(Box::pin(leader_loop::run(shared.clone())));
         spawn(Box::pin(relay::run(shared.clone())));
         spawn(Box::pin(watch_sleep(shared.clone())));
         if let Some(metrics) = metrics {
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -5,7 +5,7 @@
 //! Invariant: one change at a time; the redundancy is looked at also while one is under way.
 
 use crate::records::ControllerRecord;
-use crate::{Shared, places};
+use crate::{Shared, member_zones};
 use courseshunt_consensus::{MembersView, MembershipChange};
 use courseshunt_membership::{GroupView, Redundancy, RedundancyWatch, decide, next_to_record};
 use courseshunt_records::emit;
@@ -153,5 +153,5 @@
         index: changed.as_ref().ok().map(|index| index.0),
         problem: changed.as_ref().err().map(ToString::to_string).as_deref(),
     });
-    shared.sessions.broadcast(places::told(shared).await);
+    shared.sessions.broadcast(member_zones::told(shared).await);
 }
--- a/crates/coordinator/src/relay.rs
+++ b/crates/coordinator/src/relay.rs
@@ -1,7 +1,7 @@
 //! Passes registrations that this controller took on to the leader.
 //!
 //! Invariant: an instance is told that its registration was taken only while
-//! the leader answers here, or did so lately (see [`crate::taking`]); what was taken
+//! the leader answers here, or did so lately (see [`crate::registration_admission`]); what was taken
 //! and lost with a leader or a connection is sent whole to the next one.
 
 use crate::Shared;
--- a/crates/coordinator/src/reports.rs
+++ b/crates/coordinator/src/reports.rs
@@ -2,11 +2,11 @@
 //! leader.
 
 use crate::Shared;
-use crate::lead::CONTACT_LIMIT;
+use crate::leader_loop::CONTACT_LIMIT;
 use crate::limits;
 use crate::quarantine;
 use crate::records::ControllerRecord;
-use crate::router_book::Way;
+use crate::router_registry::Way;
 use courseshunt_records::emit;
 use courseshunt_services::{
     FeedMessage, InstanceUsage, ModelDemand, QuotaAnswer, QuotaAsk, QuotaVerdict, RelayedReport,
--- a/crates/coordinator/src/sessions/mod.rs
+++ b/crates/coordinator/src/sessions/mod.rs
@@ -5,7 +5,7 @@
 //! message for all is encoded once; a follower whose queue is full is cut off, and asks
 //! again.
 
-mod earlier;
+mod previous_release;
 
 use crate::configuration_feed::ConfigurationFeed;
 use courseshunt_services::digest::bucket_of;
--- a/crates/coordinator/tests/lead_step.rs
+++ b/crates/coordinator/tests/leader_step.rs
@@ -1,6 +1,6 @@
 //! The leader's loop: a leadership belongs to one term.
 
-use courseshunt_coordinator::lead_step::{LeadStep, decide};
+use courseshunt_coordinator::leader_step::{LeadStep, decide};
 use courseshunt_types::Term;
 
 #[test]
--- a/crates/coordinator/tests/order_turn.rs
+++ b/crates/coordinator/tests/order_permission.rs
@@ -1,6 +1,6 @@
 //! When a leader may give orders, in a table.
 
-use courseshunt_coordinator::order_turn::{OrderTurn, TurnView, decide};
+use courseshunt_coordinator::order_permission::{OrderTurn, TurnView, decide};
 use courseshunt_types::{ControllerId, Millis};
 use std::collections::BTreeSet;
 
--- a/crates/coordinator/tests/registration_storm.rs
+++ b/crates/coordinator/tests/registration_storm.rs
@@ -3,7 +3,7 @@
 //!
 //! Costs are in microseconds of a controller with 0.15 of a core.
 
-use courseshunt_coordinator::taking::{Taking, TakingView, decide};
+use courseshunt_coordinator::registration_admission::{Taking, TakingView, decide};
 use courseshunt_types::Millis;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/coordinator/tests/router_book.rs
+++ b/crates/coordinator/tests/router_registry.rs
@@ -1,7 +1,7 @@
 //! The leader's book of routers: a router moves between controllers, whose messages about
 //! it arrive in any order, and a configuration spreads meanwhile.
 
-use courseshunt_coordinator::router_book::{RouterBook, Spread, Way};
+use courseshunt_coordinator::router_registry::{RouterBook, Spread, Way};
 use courseshunt_types::{Millis, Timestamp};
 
 const ROUTER: &str = "router-1";
