--- a/crates/coordinator/src/accept.rs
+++ b/crates/coordinator/src/accept.rs
@@ -1,18 +1,19 @@
-//! Accepts connections of other processes, at a pace that leaves turns for all else.
+//! Accepts connections of other processes, at a pace that leaves time for the other tasks of the
+//! thread.
 
 use courseshunt_http::AcceptPace;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after an accept error.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after an accept error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves each connection in a task of its own, until the stop; `part` is the prefix of log
-/// lines.
+/// Accepts connections and serves each in a separate task, until it is cancelled. `prefix` is the
+/// prefix of log lines.
 pub(crate) async fn accept_all<F>(
     listener: TcpListener,
-    part: &'static str,
+    prefix: &'static str,
     serve: impl Fn(TcpStream, SocketAddr) -> F,
 ) where
     F: Future<Output = ()> + Send + 'static,
@@ -25,8 +26,8 @@
                 pace.accepted().await;
             }
             Err(error) => {
-                log::warn!("{part}: accept failed: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!("{prefix}: accept failed: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -1,9 +1,12 @@
-//! Answers operators and instances.
+//! HTTP handlers of the control address, for operators and instances, and of the metrics address.
+//!
+//! Invariant: a configuration, or the notice that an instance leaves, is acknowledged only once it
+//! is committed.
 
 use crate::Shared;
 use crate::interface::ControlCall;
 use crate::records::ControllerRecord;
-use crate::registration_admission::{self, Taking, TakingView};
+use crate::registration_admission::{self, Admission, AdmissionView};
 use bytes::Bytes;
 use courseshunt_controller::ProposeError;
 use courseshunt_http::{Body, full_body, read_limited, text_response};
@@ -20,16 +23,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest document of an operator, in bytes.
+/// Longest configuration document, in bytes.
 const MAX_DOCUMENT_BYTES: usize = MAX_COMMAND_BYTES - ENVELOPE_BYTES;
-/// Room for what goes with a document in its command, in bytes.
+/// Room for the other fields of the command that carries a document, in bytes.
 const ENVELOPE_BYTES: usize = 1024;
 /// Longest registration, in bytes.
 const MAX_REGISTRATION_BYTES: usize = 256 * 1024;
-/// Longest wait for a commit that an instance waits for.
-const COMMIT_LIMIT: Duration = Duration::from_millis(900);
-/// Longest wait for a commit or read that an operator waits for.
-const OPERATOR_LIMIT: Duration = Duration::from_millis(2_500);
+/// Time limit of a commit that an instance waits for.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time limit of a commit or read that an operator waits for.
+const OPERATOR_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 type Answer = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
@@ -54,8 +57,8 @@
     }
 }
 
-fn unavailable(why: &str) -> Response<Body> {
-    text_response(StatusCode::SERVICE_UNAVAILABLE, why)
+fn unavailable(reason: &str) -> Response<Body> {
+    text_response(StatusCode::SERVICE_UNAVAILABLE, reason)
 }
 
 fn json(body: Bytes) -> Response<Body> {
@@ -71,8 +74,8 @@
         Err(error) => return text_response(StatusCode::BAD_REQUEST, error.to_string()),
     };
     let configuration = shared.interface.read_configuration(&body);
-    let judged = configuration.and_then(|read| judge(&read).map(|()| read.number));
-    let number = match judged {
+    let validated = configuration.and_then(|read| judge(&read).map(|()| read.number));
+    let number = match validated {
         Ok(number) => number,
         Err(error) => {
             shared.metrics.configuration("refused");
@@ -88,7 +91,7 @@
         number,
         document: body.to_vec(),
     };
-    let committed = commit(command, OPERATOR_LIMIT, shared).await;
+    let committed = commit(command, OPERATOR_TIMEOUT, shared).await;
     let outcome = match &committed {
         Ok(_) => "committed",
         Err(_) => "undecided",
@@ -115,7 +118,7 @@
 }
 
 async fn get(shared: &Arc<Shared>) -> Response<Body> {
-    let barrier = tokio::time::timeout(OPERATOR_LIMIT, shared.replica.read_barrier()).await;
+    let barrier = tokio::time::timeout(OPERATOR_TIMEOUT, shared.replica.read_barrier()).await;
     if !matches!(barrier, Ok(Ok(_))) {
         return unavailable("the newest configuration is not known");
     }
@@ -142,20 +145,20 @@
     let id = registration.id.clone();
     shared.metrics.registration();
     let leaving = registration.state == InstanceState::Leaving;
-    let taken = take_registration(registration, shared);
+    let admission = accept_registration(registration, shared);
     if leaving {
         return record_leaving(&id, false, shared).await;
     }
-    match taken {
-        Taking::Take => {
+    match admission {
+        Admission::Accept => {
             let own = shared.settings.listen.control.map(|own| own.to_string());
             json(shared.interface.registration_answer(own.as_deref()))
         }
-        Taking::TryAnother => unavailable("the leader is not reached from here"),
+        Admission::TryAnother => unavailable("the leader is not reached from here"),
     }
 }
 
-/// Refuses what can't be read whole, and tells so.
+/// Rejects a message of an instance that can't be read in full, and records it.
 fn refuse_registration(id: &RunnerId, problem: &str, shared: &Shared) -> Response<Body> {
     shared.metrics.registration_refused();
     emit(&ControllerRecord::RegistrationRefused {
@@ -175,21 +178,22 @@
         return text_response(StatusCode::BAD_REQUEST, "the message can't be read");
     };
     match shared.interface.read_departure(id.clone(), &body) {
-        Ok(life) => record_leaving(&life, true, shared).await,
+        Ok(instance) => record_leaving(&instance, true, shared).await,
         Err(problem) => refuse_registration(&id, &problem, shared),
     }
 }
 
-/// Takes a registration here, or for the leader; tells whether it counts.
-fn take_registration(registration: Registration, shared: &Shared) -> Taking {
+/// Applies a registration if this member leads, otherwise queues it for the leader; returns
+/// whether it is to be acknowledged.
+fn accept_registration(registration: Registration, shared: &Shared) -> Admission {
     let now = shared.clock.now();
     let leads = shared.replica.leads();
     if !leads {
-        shared.relay.offer(registration, now);
-        return registration_admission::decide(TakingView {
+        shared.relay.enqueue(registration, now);
+        return registration_admission::decide(AdmissionView {
             leads,
-            hears_leader: shared.replica.status().borrow().leader.is_some(),
-            out_of_reach_for: shared.relay.out_of_reach_for(now),
+            has_leader: shared.replica.status().borrow().leader.is_some(),
+            leader_unreachable_for: shared.relay.leader_unreachable_for(now),
         });
     }
     let leaving = registration.state == InstanceState::Leaving;
@@ -197,15 +201,15 @@
     if leaving {
         engine.leave(&registration.id);
     }
-    let news = engine.register(registration, now);
+    let is_change = engine.register(registration, now);
     drop(engine);
-    if news || leaving {
+    if is_change || leaving {
         shared.wake.notify_one();
     }
-    Taking::Take
+    Admission::Accept
 }
 
-/// Commits that an instance takes no more work, so that no later leader lacks it.
+/// Commits that an instance accepts no more work, so that it is not lost with this leader.
 async fn record_leaving(id: &RunnerId, ended: bool, shared: &Arc<Shared>) -> Response<Body> {
     let known = shared.replica.state().services.is_recorded(id, ended);
     if !known {
@@ -213,7 +217,7 @@
             instance: id.clone(),
             ended,
         };
-        let committed = commit(command, COMMIT_LIMIT, shared).await;
+        let committed = commit(command, COMMIT_TIMEOUT, shared).await;
         emit(&ControllerRecord::Leaves {
             instance: id.as_str(),
             ends: ended,
--- a/crates/coordinator/src/configuration_feed.rs
+++ b/crates/coordinator/src/configuration_feed.rs
@@ -1,9 +1,9 @@
-//! What routers are sent of the configuration: each the difference from the
-//! document that it holds, encoded once for all that hold the same.
+//! The configuration as it is sent to routers: the difference from the document that a router
+//! holds, encoded once for all routers that hold the same.
 //!
-//! Invariant: a router that applies what it is given holds the newest document
-//! byte for byte. Cost: what is sent grows with what changed; a router that holds
-//! neither the newest document nor the one before is sent the whole one.
+//! Invariant: a router that applies the difference holds the newest document byte for byte.
+//! Cost: the size of a message grows with the change; a router that holds neither the newest
+//! document nor the previous one is sent the whole document.
 
 use courseshunt_services::FeedMessage;
 use courseshunt_services::digest::document_digest;
@@ -11,20 +11,20 @@
 use courseshunt_wire::{Frame, Message};
 use std::sync::Arc;
 
-/// A document under its number.
+/// A configuration document with its number.
 #[derive(Debug)]
-struct Held {
+struct Version {
     number: u64,
     document: Vec<u8>,
 }
 
-/// See the module.
+/// The newest configuration and the previous one, with their encoded messages.
 #[derive(Debug, Default)]
 pub struct ConfigurationFeed {
-    newest: Option<Held>,
-    before: Option<Held>,
-    change: Option<Arc<Frame>>,
-    whole: Option<Arc<Frame>>,
+    newest: Option<Version>,
+    previous: Option<Version>,
+    difference_frame: Option<Arc<Frame>>,
+    full_frame: Option<Arc<Frame>>,
 }
 
 impl ConfigurationFeed {
@@ -34,47 +34,50 @@
         self.newest.as_ref().map_or(0, |newest| newest.number)
     }
 
-    /// Takes a newer document over; returns whether it is newer.
+    /// Publishes a document if its number is higher than the newest; returns whether it is.
     pub fn publish(&mut self, number: u64, document: &[u8]) -> bool {
         if number <= self.number() {
             return false;
         }
-        self.before = self.newest.take();
-        self.newest = Some(Held {
+        self.previous = self.newest.take();
+        self.newest = Some(Version {
             number,
             document: document.to_vec(),
         });
-        self.change = None;
-        self.whole = None;
+        self.difference_frame = None;
+        self.full_frame = None;
         true
     }
 
-    /// What a router needs that holds document `held` (0: none); `None` when it
-    /// holds the newest, or when that can't be encoded.
+    /// The frame for a router that holds document number `held` (0: none); `None` if that is the
+    /// newest, or if the message can't be encoded.
     pub fn frame_for(&mut self, held: u64) -> Option<Arc<Frame>> {
         if held >= self.number() {
             return None;
         }
         let newest = self.newest.as_ref()?;
-        let before = self.before.as_ref().filter(|before| before.number == held);
-        let kept = match before {
-            Some(_) => &mut self.change,
-            None => &mut self.whole,
+        let previous = self
+            .previous
+            .as_ref()
+            .filter(|previous| previous.number == held);
+        let cached = match previous {
+            Some(_) => &mut self.difference_frame,
+            None => &mut self.full_frame,
         };
-        if kept.is_none() {
-            *kept = encode_change(before, newest);
+        if cached.is_none() {
+            *cached = encode_change(previous, newest);
         }
-        kept.clone()
+        cached.clone()
     }
 }
 
-fn encode_change(before: Option<&Held>, newest: &Held) -> Option<Arc<Frame>> {
-    let base = before.map_or(&[][..], |before| &before.document);
+fn encode_change(previous: Option<&Version>, newest: &Version) -> Option<Arc<Frame>> {
+    let base = previous.map_or(&[][..], |previous| &previous.document);
     let encoded = difference(base, &newest.document).map_err(|error| error.to_string());
     let frame = encoded.and_then(|difference| {
         let message = FeedMessage::Configuration {
             number: newest.number,
-            base: before.map_or(0, |before| before.number),
+            base: previous.map_or(0, |previous| previous.number),
             digest: document_digest(&newest.document),
             difference,
         };
@@ -84,7 +87,7 @@
         Ok(frame) => Some(Arc::new(frame)),
         Err(problem) => {
             let number = newest.number;
-            log::error!("feed: configuration {number} can't be encoded: {problem}");
+            log::error!("feed: encode configuration {number}: {problem}");
             None
         }
     }
--- a/crates/coordinator/src/configuration_rollout.rs
+++ b/crates/coordinator/src/configuration_rollout.rs
@@ -1,19 +1,18 @@
-//! How committed configurations get to the routers that follow this controller.
+//! Publishes committed configurations to the routers that subscribe to this controller.
 //!
-//! Source: its own replica of the log, so that a change crosses the network once for each
-//! controller and not once for each router.
+//! Source: this controller's own replica of the log, so that a change crosses the network once
+//! for each controller and not once for each router.
 
 use crate::Shared;
 use std::sync::Arc;
 
-/// Sends routers each configuration that is committed, until the process stops. Each
-/// controller has it from its own replica of the log.
-pub(crate) async fn follow(shared: Arc<Shared>) {
+/// Publishes each committed configuration to routers, until the process stops.
+pub(crate) async fn publish_committed(shared: Arc<Shared>) {
     let mut status = shared.replica.status();
     loop {
-        if let Some((number, document)) = newer(&shared) {
+        if let Some((number, document)) = unpublished(&shared) {
             let document = shared.interface.document_for_routers(&document);
-            shared.sessions.configure(number, &document);
+            shared.sessions.publish_configuration(number, &document);
         }
         if status.changed().await.is_err() {
             return;
@@ -21,8 +20,8 @@
     }
 }
 
-/// A committed configuration that routers have not been sent, in the operator's form.
-fn newer(shared: &Shared) -> Option<(u64, Vec<u8>)> {
+/// The committed configuration, in the operator's form, if it has not been published yet.
+fn unpublished(shared: &Shared) -> Option<(u64, Vec<u8>)> {
     let sent = shared.sessions.configuration_number();
     let state = shared.replica.state();
     let services = &state.services;
--- a/crates/coordinator/src/error.rs
+++ b/crates/coordinator/src/error.rs
@@ -1,20 +1,20 @@
-//! Errors of a coordinator's start, which name the step and the file or address.
+//! Errors of starting a coordinator; each names the failed step and the file or address.
 
 use courseshunt_controller::ControllerError;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a coordinator can't start.
+/// An error that prevents the start of a coordinator.
 #[derive(Debug, snafu::Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CoordinatorError {
-    /// The cluster key is too short.
+    /// The cluster key has fewer than 16 bytes.
     #[snafu(display("coordinator: the cluster key must have at least 16 bytes"))]
     ShortKey,
-    /// There is no address for operators and instances.
+    /// The settings contain no address for operators and instances.
     #[snafu(display("coordinator: `listen.control` is missing"))]
     NoAddress,
-    /// An address can't be bound.
+    /// Binding a listener failed.
     #[snafu(display("coordinator: listen on {address}: {source}"))]
     Bind {
         /// The address.
@@ -25,28 +25,30 @@
     /// The identity can't be read or written.
     #[snafu(display("coordinator: {step} {}: {source}", path.display()))]
     Identity {
-        /// What was being done.
+        /// The failed step.
         step: &'static str,
         /// The file.
         path: PathBuf,
         /// The cause.
         source: std::io::Error,
     },
-    /// The thread of the control group can't start.
-    #[snafu(display("coordinator: {step} the members' thread: {source}"))]
+    /// Starting the thread of the control group failed.
+    #[snafu(display("coordinator: {step} the thread of the control group: {source}"))]
     Thread {
-        /// What was being done.
+        /// The failed step.
         step: &'static str,
         /// The cause.
         source: std::io::Error,
     },
-    /// The thread of the control group ended while the replica started.
-    #[snafu(display("coordinator: start the replica on the members' thread: {source}"))]
+    /// The thread of the control group ended while the replica was starting.
+    #[snafu(display(
+        "coordinator: start the replica on the thread of the control group: {source}"
+    ))]
     MemberThread {
         /// The cause.
         source: tokio::task::JoinError,
     },
-    /// The replica can't start.
+    /// Starting the replica failed.
     #[snafu(display("coordinator: start the replica: {source}"))]
     Replica {
         /// The cause.
--- a/crates/coordinator/src/feed.rs
+++ b/crates/coordinator/src/feed.rs
@@ -1,10 +1,10 @@
-//! Connections of routers, and of the controllers that pass the leader's feed on.
+//! Serves connections of routers, and of controllers that relay the leader's feed.
 //!
-//! Invariant: a controller feeds routers only what its leader feeds it, so that the age of
-//! what a router hears is the age of the leader's word, by however many hands it came.
+//! Invariant: a controller that does not lead feeds routers only what the leader feeds it, so
+//! that the age of a router's feed is measured from the leader, whether it is direct or relayed.
 
 use crate::records::ControllerRecord;
-use crate::router_registry::Way;
+use crate::router_registry::FeedPath;
 use crate::sessions::{SESSION_QUEUE, Session};
 use crate::{Shared, accept, member_thread, member_zones, relay, reports};
 use courseshunt_records::emit;
@@ -19,17 +19,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// Longest time that a router waits here for this controller's feed. To wait costs nobody
-/// anything, and it has the feed in the moment in which there is one; a router that is sent
-/// away costs a handshake each time, and comes back some time after that moment.
-const FEED_WAIT: Duration = Duration::from_millis(500);
-/// Longest time that a controller waits here for the leader's first look at what was
-/// committed before.
-const LEADER_WAIT: Duration = Duration::from_secs(2);
-/// Answers to one controller that wait to be sent.
+/// Longest time that a router waits for this controller to have a feed. Waiting is cheap and the
+/// router receives the feed as soon as there is one. A rejected router costs a handshake for each
+/// retry, and retries only some time after the feed is available.
+const MAX_FEED_WAIT: Duration = Duration::from_millis(500);
+/// Longest time that a controller waits for this leader to restore the committed state.
+const MAX_LEADER_WAIT: Duration = Duration::from_secs(2);
+/// Capacity of the queue of answers to one controller, in messages.
 const ANSWER_QUEUE: usize = 1024;
 
-/// Accepts other processes until the stop.
+/// Accepts connections of routers and controllers until the process stops.
 pub(crate) async fn accept_all(listener: TcpListener, shared: Arc<Shared>) {
     let serve = |stream, address| serve_peer(stream, address, shared.clone());
     accept::accept_all(listener, "feed", serve).await;
@@ -40,12 +39,12 @@
     let connection = courseshunt_wire::accept(stream, address, &shared.key, &identity).await;
     let ended = match connection {
         Ok(connection) => match connection.peer.clone() {
-            // Members of production's build have no port of their own for each other.
+            // Members of the previous release have no separate port for each other.
             PeerIdentity::Controller(_) if connection.is_earlier() => {
                 member_thread::serve_member(connection, address, &shared).await
             }
             PeerIdentity::Controller(peer) => {
-                // All controllers listen on the same ports.
+                // All controllers listen on the same port numbers.
                 let address = SocketAddr::new(address.ip(), shared.settings.wire_port);
                 serve_controller(connection, peer, address, &shared).await
             }
@@ -60,11 +59,11 @@
     }
 }
 
-/// Waits for a state of this controller; returns whether it holds.
-async fn holds_soon(state: &watch::Sender<bool>, limit: Duration) -> bool {
+/// Waits up to `limit` until a flag of this controller is set; returns whether it is.
+async fn wait_until_true(state: &watch::Sender<bool>, limit: Duration) -> bool {
     let mut changes = state.subscribe();
-    let begun = changes.wait_for(|holds| *holds);
-    let _ = tokio::time::timeout(limit, begun).await;
+    let reached = changes.wait_for(|is_true| *is_true);
+    let _ = tokio::time::timeout(limit, reached).await;
     *state.borrow()
 }
 
@@ -74,14 +73,14 @@
     number: u64,
     shared: &Arc<Shared>,
 ) -> Result<(), WireError> {
-    let is_earlier = connection.is_earlier();
+    let is_previous_release = connection.is_earlier();
     let Connection {
         mut sender,
         mut receiver,
         ..
     } = connection;
-    // First: there may be a controller nearer to the router.
-    send(&mut sender, member_zones::told(shared).await).await?;
+    // Sent first, since the router may prefer a controller of its own zone.
+    send(&mut sender, member_zones::feed_message(shared).await).await?;
     let Some(Message::ServiceReport(ReportMessage::Subscribe {
         number: configuration,
         known,
@@ -91,11 +90,12 @@
     };
     let feeds = tokio::select! {
         biased;
-        feeds = holds_soon(&shared.feeding, FEED_WAIT) => feeds,
-        // A leader of production's build feeds routers alone, and this router directly.
-        () = shared.upstream.until_leader_is_earlier() => *shared.feeding.borrow(),
-        // Another controller may feed it: to wait here costs its callers the newest word.
-        () = shared.replica.until_quorum_lost() => *shared.feeding.borrow(),
+        feeds = wait_until_true(&shared.feed_available, MAX_FEED_WAIT) => feeds,
+        // A leader of the previous release feeds no controllers, so the router has to connect to
+        // it directly.
+        () = shared.upstream.until_leader_is_previous_release() => *shared.feed_available.borrow(),
+        // Without a quorum no feed is to be expected here, while another controller may have one.
+        () = shared.replica.until_quorum_lost() => *shared.feed_available.borrow(),
     };
     if !feeds {
         let leader = shared.leader_address().map(|address| address.to_string());
@@ -106,11 +106,11 @@
         number,
         queue,
         configuration,
-        is_earlier,
+        is_previous_release,
     };
-    let gone = unknown_leaving(shared);
+    let gone = unseen_leaving_instances(shared);
     shared.sessions.open_router(&router, session, &known, gone);
-    tell(
+    report_router_event(
         &router,
         number,
         RouterNews::Follows { configuration },
@@ -119,47 +119,47 @@
     emit(&ControllerRecord::RouterFollows {
         router: &router,
         configuration,
-        is_earlier,
+        is_earlier: is_previous_release,
     });
     let ended = tokio::select! {
         () = shared.stop.cancelled() => Ok(()),
-        ended = send_all(sender, messages) => ended,
+        ended = send_feed(sender, messages) => ended,
         ended = receive_reports(receiver, &router, number, shared) => ended,
     };
     if shared.sessions.close_router(&router, number) {
         emit(&ControllerRecord::RouterLost { router: &router });
     }
-    tell(&router, number, RouterNews::Lost, shared);
+    report_router_event(&router, number, RouterNews::Lost, shared);
     ended
 }
 
-fn tell(router: &str, session: u64, news: RouterNews, shared: &Shared) {
+fn report_router_event(router: &str, session: u64, news: RouterNews, shared: &Shared) {
     let router = router.to_owned();
     let report = RelayedReport {
         router,
         session,
         news,
     };
-    reports::take_local(report, shared);
+    reports::handle_local(report, shared);
 }
 
-/// Leaving instances that this controller has not met: a follower may know them from an
-/// earlier feed.
-fn unknown_leaving(shared: &Shared) -> Vec<RunnerId> {
+/// Leaving instances that this controller's feed does not contain; a subscriber may hold them
+/// from an earlier feed.
+fn unseen_leaving_instances(shared: &Shared) -> Vec<RunnerId> {
     let leaving: Vec<RunnerId> = {
         let state = shared.replica.state();
         let leaving = state.services.leaving.iter();
         leaving.map(|one| one.instance.clone()).collect()
     };
-    let unknown = leaving.into_iter();
-    unknown.filter(|id| !shared.sessions.knows(id)).collect()
+    let unseen = leaving.into_iter();
+    unseen.filter(|id| !shared.sessions.contains(id)).collect()
 }
 
 async fn send(sender: &mut Sender, message: FeedMessage) -> Result<(), WireError> {
     sender.send(&Message::ServiceFeed(message)).await
 }
 
-async fn send_all(
+async fn send_feed(
     mut sender: Sender,
     mut messages: mpsc::Receiver<Arc<Frame>>,
 ) -> Result<(), WireError> {
@@ -177,15 +177,17 @@
 ) -> Result<(), WireError> {
     while let Some(message) = receiver.receive().await? {
         if let Message::ServiceReport(ReportMessage::Compare(known)) = message {
-            shared.sessions.compare(router, number, &known);
+            shared
+                .sessions
+                .send_differing_buckets(router, number, &known);
         } else if let Message::ServiceReport(report) = message {
-            tell(router, number, RouterNews::Reports(report), shared);
+            report_router_event(router, number, RouterNews::Reports(report), shared);
         }
     }
     Ok(())
 }
 
-/// Serves another controller: it passes registrations on, or the feed.
+/// Serves another controller, which relays registrations to this one or subscribes to its feed.
 async fn serve_controller(
     connection: Connection,
     peer: ControllerId,
@@ -200,22 +202,24 @@
     while let Some(message) = receiver.receive().await? {
         match message {
             Message::Registrations(batch) => {
-                let answer = relay::take(batch, peer, shared);
+                let answer = relay::handle_batch(batch, peer, shared);
                 sender.send(&answer).await?;
             }
             Message::FollowLeader { zone, known } => {
-                if shared.places.note(address, &zone) {
-                    shared.sessions.broadcast(member_zones::told(shared).await);
+                if shared.member_zones.note(address, &zone) {
+                    shared
+                        .sessions
+                        .broadcast(member_zones::feed_message(shared).await);
                 }
                 return feed_controller(sender, receiver, peer, &known, shared).await;
             }
-            other => log::warn!("feed: controller {peer} sent {other:?}"),
+            other => log::warn!("feed: unexpected message from controller {peer}: {other:?}"),
         }
     }
     Ok(())
 }
 
-/// Feeds a controller, as the leader, and takes what its routers report.
+/// Feeds a controller, as the leader, and handles the reports of its routers.
 async fn feed_controller(
     mut sender: Sender,
     receiver: Receiver,
@@ -223,30 +227,31 @@
     known: &InstanceDigests,
     shared: &Arc<Shared>,
 ) -> Result<(), WireError> {
-    if !holds_soon(&shared.leading, LEADER_WAIT).await {
+    if !wait_until_true(&shared.leading, MAX_LEADER_WAIT).await {
         let leader = shared.leader_address().map(|address| address.to_string());
         return send(&mut sender, FeedMessage::NoFeed { leader }).await;
     }
     let connection = rand::random();
     let (queue, messages) = mpsc::channel(SESSION_QUEUE);
     let (answers, answer_queue) = mpsc::channel(ANSWER_QUEUE);
-    send(&mut sender, member_zones::told(shared).await).await?;
-    // Told once when this leader began; without it the routers there would go on sending
-    // requests to instances that left before, until this leader has heard from all others.
-    let gone = unknown_leaving(shared);
+    send(&mut sender, member_zones::feed_message(shared).await).await?;
+    // These removals are otherwise sent only once, when the leadership begins. Without them the
+    // controller's routers would send requests to instances that have left, until this leader
+    // has received the registrations of all others.
+    let gone = unseen_leaving_instances(shared);
     shared
         .sessions
         .open_controller(connection, queue, known, gone);
     emit(&ControllerRecord::ControllerFollows { member: peer.0 });
     let ended = tokio::select! {
         () = shared.stop.cancelled() => Ok(()),
-        ended = send_both(sender, messages, answer_queue) => ended,
+        ended = send_feed_and_answers(sender, messages, answer_queue) => ended,
         ended = receive_relayed(receiver, connection, answers, shared) => ended,
     };
     shared.sessions.close_controller(connection);
-    let lost = shared.routers().relay_lost(connection);
+    let lost = shared.routers().disconnect_relay(connection);
     for router in &lost {
-        reports::forget(router, shared);
+        reports::forget_router(router, shared);
     }
     emit(&ControllerRecord::ControllerLost {
         member: peer.0,
@@ -256,7 +261,7 @@
     ended
 }
 
-async fn send_both(
+async fn send_feed_and_answers(
     mut sender: Sender,
     mut messages: mpsc::Receiver<Arc<Frame>>,
     mut answers: mpsc::Receiver<Message>,
@@ -284,14 +289,14 @@
         };
         for report in reports {
             let (router, session) = (report.router.clone(), report.session);
-            let answer = reports::take(report, Way::Through(connection), shared);
+            let answer = reports::handle(report, FeedPath::Relayed(connection), shared);
             if let Some(answer) = answer {
                 let answer = Message::RelayedAnswer {
                     router,
                     session,
                     answer,
                 };
-                // A full queue: the router decides alone after its time limit.
+                // If the queue is full, the router decides on its own after its time limit.
                 let _ = answers.try_send(answer);
             }
         }
--- a/crates/coordinator/src/interface.rs
+++ b/crates/coordinator/src/interface.rs
@@ -1,4 +1,6 @@
-//! What a controller needs of the interfaces of operators and instances.
+//! The interface to operators and instances that a controller depends on.
+//!
+//! Invariant: implementations are pure, without I/O and state.
 
 use bytes::Bytes;
 use courseshunt_services::{
@@ -8,82 +10,82 @@
 use courseshunt_types::RunnerId;
 use hyper::{HeaderMap, Method, StatusCode};
 
-/// A call that a controller takes.
+/// A call of an operator or an instance to a controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControlCall {
-    /// An operator's new configuration.
+    /// An operator sets a new configuration.
     PutConfiguration,
     /// An operator reads the configuration.
     GetConfiguration,
-    /// An instance registers: its name.
+    /// The instance of this name registers.
     Register(RunnerId),
-    /// An instance is about to end: its name.
+    /// The instance of this name is about to terminate.
     Deregister(RunnerId),
 }
 
-/// A call to an instance.
+/// A call of a controller to an instance.
 #[derive(Debug, Clone)]
 pub struct InstanceCall {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Path of the request, with a leading slash.
     pub path: String,
-    /// Headers besides the usual ones.
+    /// Headers besides the host and the content type.
     pub headers: HeaderMap,
-    /// Body, empty for none.
+    /// JSON body; empty for none.
     pub body: Bytes,
 }
 
-/// Translates between the wire forms of operators and instances and the
-/// product's own types. Pure: no I/O, no state.
+/// Translates between the wire formats of operators and instances and the internal types.
+/// Pure: no I/O, no state.
 pub trait ControlInterface: Send + Sync + 'static {
-    /// The call that a method and path stand for; `None` when there is none.
+    /// The call for a method and path; `None` if there is none.
     fn read_call(&self, method: &Method, path: &str) -> Option<ControlCall>;
 
-    /// Reads an operator's document.
+    /// Reads an operator's configuration document.
     ///
     /// # Errors
-    /// When it can't be read whole.
+    /// When any part of the document is invalid.
     fn read_configuration(
         &self,
         document: &[u8],
     ) -> Result<ServiceConfiguration, ConfigurationError>;
 
-    /// An operator's document as routers are sent it: with digests of keys in the
-    /// place of keys. [`Self::read_configuration`] reads the same out of both.
+    /// An operator's document in the form that is sent to routers, with digests in place of API
+    /// keys. [`Self::read_configuration`] returns the same for both forms.
     fn document_for_routers(&self, document: &[u8]) -> Vec<u8>;
 
-    /// Reads the registration of the instance of this name. It is whole, or refused: an
-    /// instance of which a part is guessed would be sent requests.
+    /// Reads the registration of the instance of this name. A registration without a required
+    /// field is rejected: with a default in its place, the instance would be sent requests.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// A description of the problem.
     fn read_registration(&self, id: RunnerId, body: &[u8]) -> Result<Registration, String>;
 
-    /// Which life of the instance of this name says that it is about to end.
+    /// Reads which incarnation of the instance of this name is about to terminate.
     ///
     /// # Errors
-    /// What is wrong with the message.
+    /// A description of the problem.
     fn read_departure(&self, id: RunnerId, body: &[u8]) -> Result<RunnerId, String>;
 
-    /// The answer to a registration; `next` is where later ones should go.
+    /// The body of the reply to a registration; `next` is the address for later registrations.
     fn registration_answer(&self, next: Option<&str>) -> Bytes;
 
-    /// The call that gives an order.
+    /// The call that sends an order. `holder` is the name of this controller, `fence` its term.
     fn order_call(&self, order: &Order, holder: &str, fence: u64) -> InstanceCall;
 
-    /// What the answer to an order means.
+    /// The outcome of an order by the status of its reply.
     fn order_outcome(&self, status: StatusCode) -> OrderOutcome;
 
-    /// Whether the headers of an instance's answer say that it leaves.
+    /// Whether the headers of an instance's reply report that it leaves.
     fn reports_leaving(&self, headers: &HeaderMap) -> bool;
 
-    /// The limit that the headers of an instance's answer name.
+    /// Reads the rate limit from the headers of an instance's reply.
     fn read_limit(&self, headers: &HeaderMap) -> NamedLimit;
 
-    /// The call that asks an instance how it stands.
+    /// The call that requests an instance's report.
     fn report_call(&self, instance: &RunnerId) -> InstanceCall;
 
-    /// Reads the answer to [`Self::report_call`].
+    /// Reads the reply to [`Self::report_call`]; `None` if it is invalid.
     fn read_report(&self, body: &[u8]) -> Option<InstanceReport>;
 }
--- a/crates/coordinator/src/join.rs
+++ b/crates/coordinator/src/join.rs
@@ -1,5 +1,8 @@
-//! Makes sure that this process is a member of the group: a process without a leader
-//! asks the processes that it knows, and those it is told of, to take it in.
+//! Makes this process a member of the group: a process without a leader sends join requests to
+//! the processes that it knows, and to those that their replies name.
+//!
+//! Invariant: the members that are known are stored on the disk, so that a restarted process
+//! finds the group without its seeds.
 
 use crate::records::{AskedMember, ControllerRecord};
 use crate::{Shared, identity};
@@ -13,43 +16,43 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Longest time between looks at whether a leader is known.
-const LOOK_INTERVAL: Duration = Duration::from_millis(300);
-/// Shortest time between looks.
-const LEAST_PAUSE: Duration = Duration::from_millis(10);
-/// Longest time for one question.
-const QUESTION_LIMIT: Duration = Duration::from_millis(700);
-/// Answers that wait to be taken; more questions are never under way.
-const ANSWERS: usize = 64;
+/// Longest time between checks whether a leader is known.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Shortest time between checks.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Time limit of one join request.
+const JOIN_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
+/// Capacity of the queue of outcomes; there are never more requests in flight.
+const OUTCOME_QUEUE: usize = 64;
 
-/// What became of a question to this address; `None` without an answer.
-type Answered = (SocketAddr, Option<JoinReply>);
+/// Outcome of a join request to this address; `None` without a reply.
+type JoinAttempt = (SocketAddr, Option<JoinReply>);
 
-/// Runs until the process stops.
-pub(crate) async fn keep_joined(shared: Arc<Shared>) {
-    let mut written = Vec::new();
+/// Sends join requests while they are due, and stores the members, until the process stops.
+pub(crate) async fn maintain_membership(shared: Arc<Shared>) {
+    let mut stored = Vec::new();
     let mut joiner = Joiner::default();
-    let mut told = Vec::new();
-    let (answers, mut answered) = mpsc::channel(ANSWERS);
+    let mut recorded = Vec::new();
+    let (outcomes, mut outcome_queue) = mpsc::channel(OUTCOME_QUEUE);
     loop {
-        store_members(&shared, &mut written).await;
-        for address in due(&shared, &mut joiner).await {
-            tokio::spawn(ask(shared.clone(), address, answers.clone()));
+        store_members(&shared, &mut stored).await;
+        for address in due_requests(&shared, &mut joiner).await {
+            tokio::spawn(request_join(shared.clone(), address, outcomes.clone()));
         }
-        tell(&joiner, &mut told);
+        record_answers(&joiner, &mut recorded);
         let pause = pause(&shared, &joiner);
-        let Ok(Some(answer)) = tokio::time::timeout(pause, answered.recv()).await else {
+        let Ok(Some(outcome)) = tokio::time::timeout(pause, outcome_queue.recv()).await else {
             continue;
         };
-        take(&shared, &mut joiner, answer);
-        while let Ok(answer) = answered.try_recv() {
-            take(&shared, &mut joiner, answer);
+        handle_outcome(&shared, &mut joiner, outcome);
+        while let Ok(outcome) = outcome_queue.try_recv() {
+            handle_outcome(&shared, &mut joiner, outcome);
         }
     }
 }
 
-/// Whom to ask now.
-async fn due(shared: &Shared, joiner: &mut Joiner) -> Vec<SocketAddr> {
+/// Addresses that are to be sent a join request now.
+async fn due_requests(shared: &Shared, joiner: &mut Joiner) -> Vec<SocketAddr> {
     let leader_known = shared.replica.status().borrow().leader.is_some();
     let view = shared.replica.members().await;
     let known: BTreeSet<SocketAddr> = shared.addresses.all().into_values().collect();
@@ -66,23 +69,25 @@
 fn pause(shared: &Shared, joiner: &Joiner) -> Duration {
     let now = shared.clock.now();
     let next = joiner.next_at().map(|at| Duration::from(at.since(now)));
-    next.map_or(LOOK_INTERVAL, |next| next.clamp(LEAST_PAUSE, LOOK_INTERVAL))
+    next.map_or(MAX_CHECK_INTERVAL, |next| {
+        next.clamp(MIN_CHECK_INTERVAL, MAX_CHECK_INTERVAL)
+    })
 }
 
-/// Records who was asked and what was answered, when that has changed.
-fn tell(joiner: &Joiner, told: &mut Vec<AskedMember>) {
-    let answers = joiner.answers();
-    let asked: Vec<AskedMember> = answers.map(AskedMember::from).collect();
-    if asked == *told {
+/// Records the processes that were sent requests and their answers, if they have changed.
+fn record_answers(joiner: &Joiner, recorded: &mut Vec<AskedMember>) {
+    let outcomes = joiner.answers();
+    let asked: Vec<AskedMember> = outcomes.map(AskedMember::from).collect();
+    if asked == *recorded {
         return;
     }
     if !asked.is_empty() {
         emit(&ControllerRecord::AsksToJoin { asked: &asked });
     }
-    *told = asked;
+    *recorded = asked;
 }
 
-fn take(shared: &Shared, joiner: &mut Joiner, (address, reply): Answered) {
+fn handle_outcome(shared: &Shared, joiner: &mut Joiner, (address, reply): JoinAttempt) {
     let now = shared.clock.now();
     match reply {
         Some(reply) => joiner.answered(address, &reply, now),
@@ -90,7 +95,7 @@
     }
 }
 
-/// The members with their addresses.
+/// The members whose addresses are known, with these addresses.
 pub(crate) async fn members(shared: &Shared) -> Vec<(ControllerId, SocketAddr)> {
     let view = shared.replica.members().await;
     let all = view.membership.all().into_iter();
@@ -98,29 +103,35 @@
     known.collect()
 }
 
-async fn store_members(shared: &Shared, written: &mut Vec<(ControllerId, SocketAddr)>) {
+async fn store_members(shared: &Shared, stored: &mut Vec<(ControllerId, SocketAddr)>) {
     let present = members(shared).await;
-    if present.is_empty() || present == *written {
+    if present.is_empty() || present == *stored {
         return;
     }
     match identity::write_members(&shared.settings.data_folder, &present) {
-        Ok(()) => *written = present,
+        Ok(()) => *stored = present,
         Err(error) => log::warn!("{error}"),
     }
 }
 
-/// Asks the process at `address` to take this one in.
-async fn ask(shared: Arc<Shared>, address: SocketAddr, answers: mpsc::Sender<Answered>) {
-    let reply = tokio::time::timeout(QUESTION_LIMIT, question(&shared, address)).await;
-    // Nobody takes answers any more once the process stops.
-    let _ = answers.send((address, reply.ok().flatten())).await;
+/// Sends a join request to `address`, and passes its outcome on.
+async fn request_join(
+    shared: Arc<Shared>,
+    address: SocketAddr,
+    outcomes: mpsc::Sender<JoinAttempt>,
+) {
+    let reply =
+        tokio::time::timeout(JOIN_REQUEST_TIMEOUT, send_join_request(&shared, address)).await;
+    // The receiver is dropped when the process stops.
+    let _ = outcomes.send((address, reply.ok().flatten())).await;
 }
 
-async fn question(shared: &Shared, address: SocketAddr) -> Option<JoinReply> {
+async fn send_join_request(shared: &Shared, address: SocketAddr) -> Option<JoinReply> {
     let identity = PeerIdentity::Controller(shared.id);
-    let connecting = shared
-        .addresses
-        .connect(address, QUESTION_LIMIT, &shared.key, &identity);
+    let connecting =
+        shared
+            .addresses
+            .connect(address, JOIN_REQUEST_TIMEOUT, &shared.key, &identity);
     let connection = connecting.await;
     let Connection {
         mut sender,
--- a/crates/coordinator/src/leader_link.rs
+++ b/crates/coordinator/src/leader_link.rs
@@ -1,19 +1,20 @@
-//! Does something with the leader for as long as another member leads, and anew with each
-//! leader and after each failure.
+//! Connects to the leader while another member leads, and repeats a task with each new leader and
+//! after each failure.
 
 use crate::Shared;
 use courseshunt_wire::{Connection, PeerIdentity, WireError, connect_within};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest time for a connection to the leader.
-const DIAL_LIMIT: Duration = Duration::from_millis(500);
-/// Pause before the next try to reach a leader.
-const PAUSE: Duration = Duration::from_millis(30);
+/// Time limit for connecting to the leader.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay before the next attempt to reach a leader.
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// Runs `work` with the leader's address until the process stops; `ended` is told after each
-/// time, with the problem if there was one.
-pub(crate) async fn keep<F>(
+/// Runs `work` with the leader's address, repeatedly, until the process stops. Each run is
+/// cancelled when the leader changes; `ended` is called after each with the error, if there was
+/// one.
+pub(crate) async fn run_with_leader<F>(
     shared: &Shared,
     work: impl Fn(SocketAddr) -> F,
     ended: impl Fn(SocketAddr, Option<WireError>),
@@ -26,7 +27,7 @@
         let other = leader.filter(|leader| *leader != shared.id);
         let address = other.and_then(|leader| shared.addresses.get(leader));
         let Some(address) = address else {
-            let _ = tokio::time::timeout(PAUSE, status.changed()).await;
+            let _ = tokio::time::timeout(RETRY_DELAY, status.changed()).await;
             continue;
         };
         let problem = tokio::select! {
@@ -34,15 +35,15 @@
             _ = status.wait_for(|status| status.leader != leader) => None,
         };
         ended(address, problem);
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Connects to the leader.
+/// Connects to the leader at `address`.
 pub(crate) async fn connect(address: SocketAddr, shared: &Shared) -> Result<Connection, WireError> {
     let identity = PeerIdentity::Controller(shared.id);
     let source = Some(shared.settings.address);
-    connect_within(DIAL_LIMIT, source, address, &shared.key, &identity).await
+    connect_within(CONNECT_TIMEOUT, source, address, &shared.key, &identity).await
 }
 
 pub(crate) fn timed_out(step: &'static str, address: SocketAddr) -> WireError {
--- a/crates/coordinator/src/leader_loop.rs
+++ b/crates/coordinator/src/leader_loop.rs
@@ -1,11 +1,15 @@
-//! The leader's loop: configuration, placement, feeds and membership.
+//! The leader's loop: applies committed configurations, places models, feeds routers and other
+//! controllers, and maintains the membership.
+//!
+//! Invariant: a leader that was out of contact with a quorum for [`QUORUM_CONTACT_LIMIT`] sends no
+//! feeds and starts no orders, since another member may lead by then.
 
-use crate::leader_step::{self, LeadStep};
-use crate::members::MembersKeeper;
-use crate::order_permission::{self, OrderTurn, TurnView};
+use crate::leader_step::{self, LeaderStep};
+use crate::members::MembershipManager;
+use crate::order_permission::{self, OrderDecision, OrderView};
 use crate::plan_pace::{PlanPace, PlanRound};
 use crate::records::{self, ControllerRecord};
-use crate::router_registry::Way;
+use crate::router_registry::FeedPath;
 use crate::{
     Shared, instance_persistence, limits, orders, placement_settings, quarantine, quota_settings,
     reports, sessions, upstream,
@@ -22,63 +26,65 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Longest pause of the loop.
-const TICK: Duration = Duration::from_millis(40);
-/// A leader that was not in contact with a quorum for so long ends its feeds.
-pub(crate) const CONTACT_LIMIT: Millis = Millis(360);
-/// Time between words on all accounts of tenants, and on all limits of instances; what is new
-/// is told at once.
-const ACCOUNTS_INTERVAL: Millis = Millis(1_000);
-/// Shortest time between words on limits: a number may change with each answer.
-const LIMITS_PAUSE: Millis = Millis(50);
-/// After its election a leader waits so long for registrations before it says
-/// that other instances are gone.
-const SETTLE: Millis = Millis(4_000);
-/// Time between records of the instances.
+/// Longest pause between two iterations of the loop.
+const MAX_LOOP_PAUSE: Duration = Duration::from_millis(40);
+/// A leader that was out of contact with a quorum for this time ends its feeds.
+pub(crate) const QUORUM_CONTACT_LIMIT: Millis = Millis(360);
+/// Interval of messages with all quota accounts of tenants and all limits of instances; changes
+/// are sent without waiting for it.
+const ACCOUNTS_FEED_INTERVAL: Millis = Millis(1_000);
+/// Shortest time between messages with limits: a limit can change with each answer of an
+/// instance.
+const MIN_LIMITS_FEED_INTERVAL: Millis = Millis(50);
+/// Time after its election that a leader waits for registrations before it reports instances
+/// that did not register as gone.
+const SETTLE_TIME: Millis = Millis(4_000);
+/// Interval in which changed instances are recorded in the log.
 const RECORD_INTERVAL: Millis = Millis(700);
-/// Pause before a new leader asks again what was committed before.
-const CATCH_UP_PAUSE: Duration = Duration::from_millis(20);
-/// A voter heard within this time can take the leadership over.
-const JUST_HEARD: Millis = Millis(200);
-/// Added to the lease between the orders of two leaders: an earlier leader may
-/// give orders for `orders::CONTACT_LIMIT` after it was last in contact with a
-/// quorum, and members that restarted may have elected this one right then.
+/// Delay before a new leader retries its read barrier.
+const CATCH_UP_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// A voter that answered within this time can take over the leadership.
+const LIVE_VOTER_WINDOW: Millis = Millis(200);
+/// Added to the lease between the orders of two leaders. The previous leader may give orders for
+/// `orders::QUORUM_CONTACT_LIMIT` after its last contact with a quorum, and members that
+/// restarted may have elected this one right after that contact.
 const LEASE_MARGIN: Millis = Millis(450);
 
-/// State of one leadership.
+/// State of one leadership, from the election to its end.
 struct Leadership {
     term: Term,
-    since: Timestamp,
+    elected_at: Timestamp,
     configuration: u64,
     leaving_version: u64,
     settled: bool,
-    usage_at: Timestamp,
-    quotas_at: Timestamp,
-    limits_at: Timestamp,
-    recorded_at: Timestamp,
+    usage_sent_at: Timestamp,
+    quotas_sent_at: Timestamp,
+    limits_sent_at: Timestamp,
+    instances_recorded_at: Timestamp,
+    /// Changed and gone instances that are not yet recorded in the log.
     unrecorded: (BTreeMap<RunnerId, InstanceView>, BTreeSet<RunnerId>),
-    members: MembersKeeper,
-    fed_at: Timestamp,
-    plans: PlanPace,
-    /// The quarantine is being recorded.
+    members: MembershipManager,
+    instances_sent_at: Timestamp,
+    plan_pace: PlanPace,
+    /// A record of the quarantine is in flight.
     recording_quarantine: Arc<AtomicBool>,
-    /// What earlier leaders recorded is taken over.
-    taken_over: bool,
-    /// Instances are being recorded.
-    recording: Arc<AtomicBool>,
-    turn: Arc<Turn>,
+    /// The state that earlier leaders recorded is restored.
+    is_restored: bool,
+    /// Records of instances are in flight.
+    recording_instances: Arc<AtomicBool>,
+    readiness: Arc<OrderReadiness>,
 }
 
-/// This leadership's way to its first order.
+/// What has to be done in this leadership before its first order.
 #[derive(Debug, Default)]
-struct Turn {
-    /// Everything committed before is applied here.
+struct OrderReadiness {
+    /// All entries committed before this leadership are applied here.
     caught_up: AtomicBool,
-    /// This member is being recorded as the holder.
+    /// A record of this member as the holder of the orders is in flight.
     recording: AtomicBool,
 }
 
-/// Runs until the process stops.
+/// Runs the leader's loop until the process stops; waits while another member leads.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut status = shared.replica.status();
     let mut leadership: Option<Leadership> = None;
@@ -89,20 +95,20 @@
         };
         let held = leadership.as_ref().map(|leadership| leadership.term);
         match leader_step::decide(leads, held) {
-            LeadStep::Wait => {
+            LeaderStep::Wait => {
                 let _ = status.changed().await;
                 continue;
             }
-            LeadStep::End => {
+            LeaderStep::End => {
                 leadership = None;
                 end(&shared);
                 continue;
             }
-            LeadStep::Begin => leadership = leads.map(|term| begin(&shared, term)),
-            LeadStep::GoOn => {}
+            LeaderStep::Begin => leadership = leads.map(|term| begin(&shared, term)),
+            LeaderStep::Continue => {}
         }
         if let Some(leadership) = &mut leadership {
-            act(&shared, leadership).await;
+            run_step(&shared, leadership).await;
         }
         let pause = pause(&shared);
         tokio::select! {
@@ -113,12 +119,13 @@
     }
 }
 
-/// Until the next tick, or until an adapter becomes ready.
+/// Time until the next iteration: at most [`MAX_LOOP_PAUSE`], less if an adapter becomes ready
+/// before.
 fn pause(shared: &Shared) -> Duration {
     let now = shared.clock.now();
     let next = shared.engine().next_ready();
     let until = next.map(|at| Duration::from(at.since(now)) + Duration::from_millis(1));
-    until.map_or(TICK, |until| until.min(TICK))
+    until.map_or(MAX_LOOP_PAUSE, |until| until.min(MAX_LOOP_PAUSE))
 }
 
 fn begin(shared: &Arc<Shared>, term: Term) -> Leadership {
@@ -126,52 +133,52 @@
     *shared.quotas() = QuotaLedger::new(term.0, quota_settings(&shared.settings));
     *shared.limits() = LimitLedger::default();
     *shared.quarantine() = QuarantineLedger::default();
-    shared.feeding.send_replace(false);
+    shared.feed_available.send_replace(false);
     shared.metrics.leadership();
     emit(&ControllerRecord::Leads { term: term.0 });
-    let turn = Arc::new(Turn::default());
-    let catching_up = catch_up(shared.clone(), turn.clone());
+    let readiness = Arc::new(OrderReadiness::default());
+    let catching_up = catch_up(shared.clone(), readiness.clone());
     tokio::spawn(shared.stop.clone().run_until_cancelled_owned(catching_up));
     Leadership {
         term,
-        since: now,
+        elected_at: now,
         configuration: 0,
         leaving_version: 0,
         settled: false,
-        usage_at: now,
-        quotas_at: now,
-        limits_at: now,
-        recorded_at: now,
+        usage_sent_at: now,
+        quotas_sent_at: now,
+        limits_sent_at: now,
+        instances_recorded_at: now,
         unrecorded: Default::default(),
-        members: MembersKeeper::new(now),
-        fed_at: now,
-        plans: PlanPace::begin(now),
+        members: MembershipManager::new(now),
+        instances_sent_at: now,
+        plan_pace: PlanPace::new(now),
         recording_quarantine: Arc::default(),
-        taken_over: false,
-        recording: Arc::default(),
-        turn,
+        is_restored: false,
+        recording_instances: Arc::default(),
+        readiness,
     }
 }
 
-/// Notes when everything committed before this leadership is applied here.
-async fn catch_up(shared: Arc<Shared>, turn: Arc<Turn>) {
+/// Waits until all entries committed before this leadership are applied here, and notes it.
+async fn catch_up(shared: Arc<Shared>, readiness: Arc<OrderReadiness>) {
     while shared.replica.leads() {
         if shared.replica.read_barrier().await.is_ok() {
-            turn.caught_up.store(true, Ordering::Relaxed);
+            readiness.caught_up.store(true, Ordering::Relaxed);
             shared.wake.notify_one();
             return;
         }
-        tokio::time::sleep(CATCH_UP_PAUSE).await;
+        tokio::time::sleep(CATCH_UP_RETRY_DELAY).await;
     }
 }
 
 fn end(shared: &Shared) {
-    // Here, not where the next leadership begins: registrations are taken from the election on,
-    // and what an instance says once it may not say again.
+    // Reset here and not at the start of the next leadership: registrations are accepted from the
+    // election on, and an instance may not repeat a notice that it has sent once.
     *shared.engine() = PlacementEngine::new(placement_settings(&shared.settings));
     shared.leading.send_replace(false);
-    shared.feeding.send_replace(false);
-    shared.tell_redundancy(None);
+    shared.feed_available.send_replace(false);
+    shared.set_redundancy(None);
     let leader = shared.leader_address().map(|address| address.to_string());
     emit(&ControllerRecord::LeadsNoMore {
         leader: leader.as_deref(),
@@ -182,63 +189,64 @@
     shared.applicants().clear();
 }
 
-async fn act(shared: &Arc<Shared>, leadership: &mut Leadership) {
+async fn run_step(shared: &Arc<Shared>, leadership: &mut Leadership) {
     let now = shared.clock.now();
-    let caught_up = leadership.turn.caught_up.load(Ordering::Relaxed);
-    follow_state(shared, leadership, now);
+    let caught_up = leadership.readiness.caught_up.load(Ordering::Relaxed);
+    apply_committed_state(shared, leadership, now);
     if caught_up {
-        take_over(shared, leadership, now).await;
-        keep_quarantine(shared, leadership);
+        restore_recorded_state(shared, leadership, now).await;
+        maintain_quarantine(shared, leadership);
     }
-    let in_contact = shared
+    let has_quorum_contact = shared
         .replica
         .confirmation_age()
-        .is_some_and(|age| age < CONTACT_LIMIT);
-    if !in_contact {
+        .is_some_and(|age| age < QUORUM_CONTACT_LIMIT);
+    if !has_quorum_contact {
         return;
     }
-    if take_turn(shared, leadership, now).await {
-        place(shared, leadership, now);
+    if may_give_orders(shared, leadership, now).await {
+        run_placement(shared, leadership, now);
     }
     if caught_up {
         feed(shared, leadership, now);
-        record(shared, leadership, now);
+        persist_instances(shared, leadership, now);
     }
-    leadership.members.keep(shared, now).await;
+    leadership.members.run_if_due(shared, now).await;
 }
 
-/// Takes over what earlier leaders recorded, once all of it is applied here, and begins to
-/// feed.
-async fn take_over(shared: &Arc<Shared>, leadership: &mut Leadership, now: Timestamp) {
-    if leadership.taken_over {
+/// Restores, once per leadership, the state that earlier leaders recorded, and opens the feeds.
+async fn restore_recorded_state(shared: &Arc<Shared>, leadership: &mut Leadership, now: Timestamp) {
+    if leadership.is_restored {
         return;
     }
-    leadership.taken_over = true;
+    leadership.is_restored = true;
     let recorded = shared.replica.state().services.quarantined.clone();
     shared.quarantine().seed(&recorded, now);
-    instance_persistence::seed_instances(shared, now).await;
+    instance_persistence::restore_instances(shared, now).await;
     let term = leadership.term.0;
     let settled = false;
-    shared.sessions.lead(sessions::Leadership { term, settled });
-    for router in upstream::all_routers(shared) {
-        let _ = reports::take(router, Way::Here, shared);
+    shared
+        .sessions
+        .begin_leadership(sessions::Leadership { term, settled });
+    for router in upstream::router_subscriptions(shared) {
+        let _ = reports::handle(router, FeedPath::Direct, shared);
     }
-    shared.sessions.broadcast(quarantine::told(shared));
+    shared.sessions.broadcast(quarantine::feed_message(shared));
     feed_instances(shared, leadership, now);
     send_usage(shared, leadership, now);
     shared.leading.send_replace(true);
-    shared.feeding.send_replace(true);
+    shared.feed_available.send_replace(true);
 }
 
-/// Records what has changed of the quarantine.
-fn keep_quarantine(shared: &Arc<Shared>, leadership: &Leadership) {
+/// Expires quarantines and records changes of the quarantine in the log.
+fn maintain_quarantine(shared: &Arc<Shared>, leadership: &Leadership) {
     quarantine::expire(shared, shared.clock.now());
-    quarantine::record(shared, &leadership.recording_quarantine);
+    quarantine::persist(shared, &leadership.recording_quarantine);
 }
 
-/// Takes over what was committed. The state is locked for the time of a copy only: the
-/// thread that commits waits for it.
-fn follow_state(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
+/// Applies the committed configuration and notices of leaving instances. The state is locked
+/// only while they are copied, since the thread that applies commits waits for the lock.
+fn apply_committed_state(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
     let document = {
         let state = shared.replica.state();
         let services = &state.services;
@@ -271,36 +279,39 @@
             shared.quotas().configure(&configuration.tenants, now);
             shared.engine().configure(Arc::new(configuration), now);
         }
-        Err(error) => log::error!("coordinator: committed configuration: {error}"),
+        Err(error) => {
+            log::error!("coordinator: read committed configuration {number}: {error}")
+        }
     }
-    shared.routers().spread(number, now);
+    shared.routers().begin_rollout(number, now);
 }
 
-/// Whether orders may be given; does what has to be done before.
-async fn take_turn(shared: &Arc<Shared>, leadership: &Leadership, now: Timestamp) -> bool {
+/// Whether orders may be given. If not, takes the next step towards it: records this member as
+/// the holder, or hands the leadership over.
+async fn may_give_orders(shared: &Arc<Shared>, leadership: &Leadership, now: Timestamp) -> bool {
     let holder = shared.replica.state().services.orders_holder;
     let own = shared.id;
     let live = match holder {
         Some(holder) if holder != own => {
             let members = shared.replica.members().await;
-            members.live_voters(JUST_HEARD).collect()
+            members.live_voters(LIVE_VOTER_WINDOW).collect()
         }
         _ => BTreeSet::new(),
     };
-    let decided = order_permission::decide(&TurnView {
+    let decision = order_permission::decide(&OrderView {
         own,
         holder,
-        caught_up: leadership.turn.caught_up.load(Ordering::Relaxed),
-        led_for: now.since(leadership.since),
-        up_for: now.since(Timestamp::default()),
+        caught_up: leadership.readiness.caught_up.load(Ordering::Relaxed),
+        since_election: now.since(leadership.elected_at),
+        uptime: now.since(Timestamp::default()),
         lease: Millis(shared.settings.limits.order_lease_ms + LEASE_MARGIN.0),
         live: &live,
     });
-    match decided {
-        OrderTurn::Give => return true,
-        OrderTurn::Wait => {}
-        OrderTurn::Record => record_holder(shared, leadership),
-        OrderTurn::HandOver(holder) => {
+    match decision {
+        OrderDecision::Allow => return true,
+        OrderDecision::Wait => {}
+        OrderDecision::RecordHolder => record_holder(shared, leadership),
+        OrderDecision::HandOver(holder) => {
             emit(&ControllerRecord::HandsOver { to: holder.0 });
             shared.replica.hand_over(holder);
         }
@@ -308,10 +319,10 @@
     false
 }
 
-/// Records this member as the one that gives orders.
+/// Records in the log that this member gives orders, unless such a record is in flight.
 fn record_holder(shared: &Arc<Shared>, leadership: &Leadership) {
-    let turn = leadership.turn.clone();
-    if turn.recording.swap(true, Ordering::Relaxed) {
+    let readiness = leadership.readiness.clone();
+    if readiness.recording.swap(true, Ordering::Relaxed) {
         return;
     }
     let shared = shared.clone();
@@ -321,19 +332,19 @@
         emit(&ControllerRecord::HoldsOrders {
             problem: recorded.err().map(|error| error.to_string()).as_deref(),
         });
-        turn.recording.store(false, Ordering::Relaxed);
+        readiness.recording.store(false, Ordering::Relaxed);
         shared.wake.notify_one();
     });
 }
 
-fn place(shared: &Arc<Shared>, leadership: &mut Leadership, now: Timestamp) {
+fn run_placement(shared: &Arc<Shared>, leadership: &mut Leadership, now: Timestamp) {
     let mut engine = shared.engine();
-    let Some(round) = leadership.plans.due(engine.waits(), now) else {
+    let Some(round) = leadership.plan_pace.due(engine.waits(), now) else {
         return;
     };
     let steps = match round {
         PlanRound::All => engine.plan(now),
-        PlanRound::Waited => engine.plan_waited(now),
+        PlanRound::Urgent => engine.plan_waited(now),
     };
     let events = engine.take_events();
     drop(engine);
@@ -341,37 +352,38 @@
         emit(&records::placement(event));
     }
     let ended = shared.clock.now();
-    leadership.plans.planned(round, now, ended);
+    leadership.plan_pace.note_round(round, now, ended);
     for step in steps {
-        tokio::spawn(orders::carry_out(step, shared.clone()));
+        tokio::spawn(orders::execute(step, shared.clone()));
     }
 }
 
 fn feed(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
-    let settles = !leadership.settled && now.since(leadership.since) >= SETTLE;
+    let becomes_settled = !leadership.settled && now.since(leadership.elected_at) >= SETTLE_TIME;
     let mut engine = shared.engine();
     engine.mark_ready(now);
     engine.expire(now);
     drop(engine);
-    let due = now.since(leadership.fed_at) >= instances_interval(shared.sessions.count());
-    if due || settles {
+    let due =
+        now.since(leadership.instances_sent_at) >= instances_interval(shared.sessions.count());
+    if due || becomes_settled {
         feed_instances(shared, leadership, now);
     }
-    if settles {
+    if becomes_settled {
         leadership.settled = true;
         let live = shared.engine().ids();
-        shared.sessions.settle(live);
+        shared.sessions.mark_settled(live);
     }
     feed_quotas(shared, leadership, now);
     feed_limits(shared, leadership, now);
-    let followers = u32::try_from(shared.sessions.count()).unwrap_or(u32::MAX);
+    let subscribers = u32::try_from(shared.sessions.count()).unwrap_or(u32::MAX);
     let instance_count = shared.engine().count();
-    if now.since(leadership.usage_at) >= usage_interval(followers, instance_count) {
+    if now.since(leadership.usage_sent_at) >= usage_interval(subscribers, instance_count) {
         send_usage(shared, leadership, now);
     }
 }
 
-/// Tells which instances have changed.
+/// Sends the instances that have changed or are gone.
 fn feed_instances(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
     let (changed, gone) = shared.engine().take_changes(now);
     if changed.is_empty() && gone.is_empty() {
@@ -392,13 +404,13 @@
         unrecorded.remove(id);
         lost.insert(id.clone());
     }
-    leadership.fed_at = now;
+    leadership.instances_sent_at = now;
     shared.sessions.send_instances(changed, gone);
 }
 
-/// Tells what all routers use.
+/// Sends the use of all instances, summed over all routers.
 fn send_usage(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
-    leadership.usage_at = now;
+    leadership.usage_sent_at = now;
     let instances = shared.engine().usage_of_all();
     shared.sessions.broadcast(FeedMessage::Usage {
         configuration: leadership.configuration,
@@ -407,45 +419,47 @@
     });
 }
 
-/// Tells how the accounts of tenants stand: at once where that changed.
+/// Sends the state of the tenants' accounts: at once after a change of state, otherwise at
+/// [`ACCOUNTS_FEED_INTERVAL`].
 fn feed_quotas(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
-    let turned = shared.quotas().take_turned();
-    if !turned && now.since(leadership.quotas_at) < ACCOUNTS_INTERVAL {
+    let changed = shared.quotas().take_turned();
+    if !changed && now.since(leadership.quotas_sent_at) < ACCOUNTS_FEED_INTERVAL {
         return;
     }
-    leadership.quotas_at = now;
+    leadership.quotas_sent_at = now;
     if let Some(message) = shared.quota_standings(now) {
         shared.sessions.broadcast(message);
     }
 }
 
-/// Tells which limits instances name: soon where that changed.
+/// Sends the limits that instances report: after a change within [`MIN_LIMITS_FEED_INTERVAL`],
+/// otherwise at [`ACCOUNTS_FEED_INTERVAL`].
 fn feed_limits(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
-    let since = now.since(leadership.limits_at);
-    let has_news = shared.limits().has_news() && since >= LIMITS_PAUSE;
-    if !has_news && since < ACCOUNTS_INTERVAL {
+    let since = now.since(leadership.limits_sent_at);
+    let has_news = shared.limits().has_news() && since >= MIN_LIMITS_FEED_INTERVAL;
+    if !has_news && since < ACCOUNTS_FEED_INTERVAL {
         return;
     }
     shared.limits().take_news();
-    leadership.limits_at = now;
-    if let Some(message) = limits::told(shared, now) {
+    leadership.limits_sent_at = now;
+    if let Some(message) = limits::feed_message(shared, now) {
         shared.sessions.broadcast(message);
     }
 }
 
-/// Records the instances for a successor, some at a time, so that no entry of the log grows
-/// with the fleet.
-fn record(shared: &Arc<Shared>, leadership: &mut Leadership, now: Timestamp) {
+/// Records changed instances for later leaders, in batches, so that no log entry grows with the
+/// size of the fleet.
+fn persist_instances(shared: &Arc<Shared>, leadership: &mut Leadership, now: Timestamp) {
     let (changed, gone) = &mut leadership.unrecorded;
-    let due = now.since(leadership.recorded_at) >= RECORD_INTERVAL;
+    let due = now.since(leadership.instances_recorded_at) >= RECORD_INTERVAL;
     let nothing = changed.is_empty() && gone.is_empty();
-    if !due || nothing || leadership.recording.swap(true, Ordering::Relaxed) {
+    if !due || nothing || leadership.recording_instances.swap(true, Ordering::Relaxed) {
         return;
     }
-    leadership.recorded_at = now;
+    leadership.instances_recorded_at = now;
     let changed: Vec<InstanceView> = std::mem::take(changed).into_values().collect();
     let gone: Vec<RunnerId> = std::mem::take(gone).into_iter().collect();
-    let (shared, recording) = (shared.clone(), leadership.recording.clone());
+    let (shared, recording) = (shared.clone(), leadership.recording_instances.clone());
     tokio::spawn(async move {
         instance_persistence::record_all(&changed, &gone, &shared).await;
         recording.store(false, Ordering::Relaxed);
--- a/crates/coordinator/src/leader_step.rs
+++ b/crates/coordinator/src/leader_step.rs
@@ -1,32 +1,32 @@
-//! What the leader's loop does next.
+//! Decides the next step of the leader's loop. Pure.
 //!
-//! Invariant: a leadership belongs to one term. A member that lost the leadership and has it
-//! again before its loop looked begins anew: another member may have led in between, and what
-//! the earlier leadership believed is not what was recorded since.
+//! Invariant: a leadership belongs to one term. A member that lost the leadership and regained
+//! it between two iterations of its loop starts a new one: another member may have led in
+//! between, and the state of the earlier leadership is older than what was recorded since.
 
 use courseshunt_types::Term;
 
-/// A step of the loop.
+/// A step of the leader's loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeadStep {
-    /// This member does not lead: wait until that changes.
+pub enum LeaderStep {
+    /// This member does not lead: wait until its status changes.
     Wait,
-    /// Begin a leadership.
+    /// Begin a leadership in the present term.
     Begin,
-    /// Go on with the one that is held.
-    GoOn,
-    /// End the one that is held.
+    /// Continue the leadership that the loop holds.
+    Continue,
+    /// End the leadership that the loop holds; its term is over.
     End,
 }
 
-/// Decides by the term in which this member leads, if it does, and the term of the leadership
-/// that its loop holds.
+/// Returns the next step. `leads` is the term in which this member leads, if it does; `held` is
+/// the term of the leadership that its loop holds.
 #[must_use]
-pub fn decide(leads: Option<Term>, held: Option<Term>) -> LeadStep {
+pub fn decide(leads: Option<Term>, held: Option<Term>) -> LeaderStep {
     match (leads, held) {
-        (None, None) => LeadStep::Wait,
-        (Some(_), None) => LeadStep::Begin,
-        (Some(leads), Some(held)) if leads == held => LeadStep::GoOn,
-        (_, Some(_)) => LeadStep::End,
+        (None, None) => LeaderStep::Wait,
+        (Some(_), None) => LeaderStep::Begin,
+        (Some(leads), Some(held)) if leads == held => LeaderStep::Continue,
+        (_, Some(_)) => LeaderStep::End,
     }
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,11 +1,11 @@
-//! The controller of declared services. It forms its group from a few seeds,
-//! heals it after lost disks, keeps the configuration, takes the instances'
-//! registrations, places models and feeds the routers.
+//! The controller of declared services. It forms the control group from a list of seed
+//! addresses, replaces members whose disks were lost, stores the configuration, accepts the
+//! registrations of instances, decides which models are loaded where, and feeds routers.
 //!
-//! Invariants: only the leader gives orders, and only a lease after its
-//! election; a change is acknowledged only once it is committed; a process
-//! whose disk is empty joins under a new identity and never votes under an old
-//! one.
+//! Invariants: only the leader gives orders to instances, and only after a lease has passed
+//! since its election, unless it was itself the last member to give orders. A change is
+//! acknowledged only once it is committed. A process whose disk is empty joins under a new
+//! identity and never votes under an old one.
 
 mod accept;
 mod api;
@@ -56,9 +56,9 @@
 use courseshunt_types::{ControllerId, Millis, Timestamp, Zone};
 use courseshunt_wire::ClusterKey;
 use error::{BindSnafu, MemberThreadSnafu, ReplicaSnafu};
-use metrics::{Metrics, Present};
+use metrics::{CurrentValues, Metrics};
 use records::ControllerRecord;
-use router_registry::RouterBook;
+use router_registry::RouterRegistry;
 use sessions::Sessions;
 use snafu::{OptionExt, ResultExt};
 use std::collections::BTreeMap;
@@ -67,13 +67,15 @@
 use tokio::sync::{Notify, Semaphore, watch};
 use tokio_util::sync::CancellationToken;
 
-/// Entries and bytes after which a snapshot is taken: documents are large.
+/// Log entries and bytes after which a snapshot is taken. The byte limit matters because
+/// configuration documents are large.
 const SNAPSHOT_AFTER: (usize, usize) = (256, 2 * 1024 * 1024);
 
-/// Processes whose wish to join is remembered, so that each is recorded once.
-const MAX_ASKED_TO_JOIN: usize = 256;
+/// Processes for which the last answer to a join request is kept, so that repeated requests are
+/// recorded once.
+const MAX_JOIN_REQUESTS: usize = 256;
 
-/// What the parts of a coordinator share.
+/// State that the tasks of a coordinator share.
 pub(crate) struct Shared {
     pub(crate) settings: ServiceSettings,
     pub(crate) id: ControllerId,
@@ -84,39 +86,41 @@
     pub(crate) client: HttpClient,
     pub(crate) clock: MonotonicClock,
     pub(crate) sessions: Sessions,
-    /// Reports of routers on their way to the leader.
+    /// Reports of routers that are to be sent to the leader.
     pub(crate) upstream: upstream::Upstream,
-    /// In which zones the members are.
-    pub(crate) places: member_zones::Places,
-    /// The routers of the fleet, while this member leads.
-    routers: Mutex<RouterBook>,
-    /// Calls to instances that are under way at once.
-    pub(crate) calls: Semaphore,
-    /// Registrations taken here on their way to the leader.
+    /// Zones of the members.
+    pub(crate) member_zones: member_zones::MemberZones,
+    /// All routers of the fleet; filled while this member leads.
+    routers: Mutex<RouterRegistry>,
+    /// Limits the calls to instances that are in flight at once.
+    pub(crate) call_permits: Semaphore,
+    /// Registrations accepted here that are to be sent to the leader.
     pub(crate) relay: relay::Relay,
     /// Wakes the leader's loop.
     pub(crate) wake: Notify,
-    /// Whether routers can be fed: this member leads and its engine knows what was
-    /// committed, or it has the leader's feed.
-    pub(crate) feeding: watch::Sender<bool>,
-    /// Whether this member leads and has taken over what was recorded: until then nothing is
-    /// told as a leader's word, and reports are left out, since routers tell a new leader all.
+    /// Whether routers can be fed: either this member leads and its engine holds the committed
+    /// state, or it receives the leader's feed.
+    pub(crate) feed_available: watch::Sender<bool>,
+    /// Whether this member leads and has restored the recorded state. Until then it sends no
+    /// feed as the leader and drops reports, since routers send a new leader everything again.
     pub(crate) leading: watch::Sender<bool>,
-    /// Processes that want to join, while this member leads.
+    /// Processes that want to join; filled while this member leads.
     pub(crate) applicants: Mutex<Applicants>,
-    /// Processes that asked here to join, with whether they were noted.
-    asked_to_join: Mutex<BTreeMap<ControllerId, bool>>,
-    /// How many losses the group can bear; known while this member leads.
+    /// Processes that sent a join request to this member, and whether each was noted as an
+    /// applicant.
+    join_requests: Mutex<BTreeMap<ControllerId, bool>>,
+    /// How many member losses the group can tolerate, and the time below full redundancy;
+    /// known while this member leads.
     pub(crate) redundancy: Mutex<Option<(Redundancy, Millis)>>,
     pub(crate) stop: CancellationToken,
     pub(crate) metrics: Metrics,
     pub(crate) seeds: SeedList,
     engine: Mutex<PlacementEngine>,
-    /// Accounts of tenants, while this member leads.
+    /// Quota accounts of tenants, while this member leads.
     quotas: Mutex<QuotaLedger>,
-    /// Accounts of limits that instances name, while this member leads.
+    /// Accounts of the rate limits that instances report, while this member leads.
     limits: Mutex<LimitLedger>,
-    /// Instances that ended under requests, while this member leads.
+    /// Request contents during which instances ended, while this member leads.
     quarantine: Mutex<QuarantineLedger>,
 }
 
@@ -138,11 +142,12 @@
         quarantine.unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn routers(&self) -> MutexGuard<'_, RouterBook> {
+    pub(crate) fn routers(&self) -> MutexGuard<'_, RouterRegistry> {
         self.routers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How the accounts of tenants stand; none where no tenant has a limit.
+    /// The feed message with the state of the tenants' accounts; `None` if no tenant has a
+    /// limit.
     pub(crate) fn quota_standings(&self, now: Timestamp) -> Option<FeedMessage> {
         let mut quotas = self.quotas();
         quotas.has_accounts().then(|| FeedMessage::Quotas {
@@ -151,7 +156,7 @@
         })
     }
 
-    /// Notes at the leader that a process wants to join.
+    /// Notes at the leader that a process wants to join, and wakes its loop if that is new.
     pub(crate) fn note_applicant(&self, member: ControllerId, address: SocketAddr) {
         let now = self.clock.now();
         if self.applicants().note(member, address, now) {
@@ -164,28 +169,28 @@
         applicants.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes how a process that asked to join was answered; returns whether that is new.
-    pub(crate) fn asked_to_join(&self, member: ControllerId, noted: bool) -> bool {
-        let asked = self.asked_to_join.lock();
-        let mut asked = asked.unwrap_or_else(PoisonError::into_inner);
-        if asked.len() >= MAX_ASKED_TO_JOIN {
-            asked.clear();
+    /// Notes how a join request was answered; returns whether the answer differs from the last
+    /// one to this process.
+    pub(crate) fn note_join_request(&self, member: ControllerId, noted: bool) -> bool {
+        let requests = self.join_requests.lock();
+        let mut requests = requests.unwrap_or_else(PoisonError::into_inner);
+        if requests.len() >= MAX_JOIN_REQUESTS {
+            requests.clear();
         }
-        asked.insert(member, noted) != Some(noted)
+        requests.insert(member, noted) != Some(noted)
     }
 
-    /// Keeps what the metrics page tells of the group's redundancy; `None` when this
-    /// member does not lead.
-    pub(crate) fn tell_redundancy(&self, present: Option<(Redundancy, Millis)>) {
+    /// Sets the redundancy that the metrics page shows; `None` when this member does not lead.
+    pub(crate) fn set_redundancy(&self, present: Option<(Redundancy, Millis)>) {
         let redundancy = self.redundancy.lock();
         *redundancy.unwrap_or_else(PoisonError::into_inner) = present;
     }
 
-    /// The page of counters and gauges.
+    /// Renders the page of counters and gauges.
     pub(crate) fn metrics_page(&self) -> String {
         let status = self.replica.status().borrow().clone();
         let age = self.replica.confirmation_age();
-        self.metrics.page(&Present {
+        self.metrics.page(&CurrentValues {
             leads: status.leads(),
             term: status.term.0,
             configuration: self.replica.state().services.number,
@@ -206,7 +211,8 @@
     }
 }
 
-/// Settings of a new placement engine.
+/// Settings of a new placement engine. An instance counts as lost after four registration
+/// intervals without a registration.
 pub(crate) fn placement_settings(settings: &ServiceSettings) -> PlacementSettings {
     let interval = settings.limits.registration_interval_ms;
     PlacementSettings {
@@ -216,7 +222,7 @@
     }
 }
 
-/// Settings of tenants' accounts.
+/// Settings of the quota accounts of tenants.
 pub(crate) fn quota_settings(settings: &ServiceSettings) -> QuotaSettings {
     let limits = &settings.limits;
     QuotaSettings::new(
@@ -226,15 +232,15 @@
     )
 }
 
-/// Registrations after which a silent connection of an instance is closed: those that
-/// an instance left behind would add up to more than the process may have open.
-const SILENT_REGISTRATIONS: u64 = 4;
-/// Connections of instances and operators at the most; instances that find no place
-/// here find one at another controller.
+/// Registration intervals after which an idle connection of an instance is closed. Connections
+/// that instances abandon would otherwise exceed the limit of open files.
+const IDLE_REGISTRATION_INTERVALS: u64 = 4;
+/// Maximum connections of instances and operators; an instance that is rejected here connects to
+/// another controller.
 const MAX_CONTROL_CONNECTIONS: usize = 2_500;
 
 fn control_limits(settings: &ServiceSettings) -> ServerLimits {
-    let silence = settings.limits.registration_interval_ms * SILENT_REGISTRATIONS;
+    let silence = settings.limits.registration_interval_ms * IDLE_REGISTRATION_INTERVALS;
     ServerLimits {
         max_connections: MAX_CONTROL_CONNECTIONS,
         header_timeout: std::time::Duration::from_millis(silence),
@@ -242,18 +248,20 @@
     }
 }
 
-/// Time between looks at whether the machine was suspended.
-const SLEEP_LOOK: std::time::Duration = std::time::Duration::from_secs(1);
+/// Interval of the checks whether the machine was suspended.
+const SUSPENSION_CHECK_INTERVAL: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// Tells when the machine was suspended. Nothing waits for it: what expires is judged by a
-/// clock that counts the sleep, whenever it is asked.
-async fn watch_sleep(shared: Arc<Shared>) {
+/// Records when the machine was suspended. Nothing depends on this task: expiry is evaluated by
+/// a clock that includes the time of a suspension.
+async fn watch_suspension(shared: Arc<Shared>) {
     let mut watch = SleepWatch::start(&shared.clock);
     loop {
-        tokio::time::sleep(SLEEP_LOOK).await;
-        if let Some(slept) = watch.look(&shared.clock) {
-            shared.metrics.slept(slept);
-            emit(&ControllerRecord::Slept { slept_ms: slept.0 });
+        tokio::time::sleep(SUSPENSION_CHECK_INTERVAL).await;
+        if let Some(suspended) = watch.look(&shared.clock) {
+            shared.metrics.suspended(suspended);
+            emit(&ControllerRecord::Slept {
+                slept_ms: suspended.0,
+            });
         }
     }
 }
@@ -264,22 +272,22 @@
 }
 
 impl Coordinator {
-    /// Starts a coordinator.
+    /// Starts a coordinator with a new clock.
     ///
     /// # Errors
-    /// When the store is damaged, or an address is taken.
+    /// When a setting is missing or too short, the store is damaged, or an address is in use.
     pub async fn start(
         settings: ServiceSettings,
         interface: Arc<dyn ControlInterface>,
     ) -> Result<Self, CoordinatorError> {
-        Self::start_by(MonotonicClock::start(), settings, interface).await
+        Self::start_with_clock(MonotonicClock::start(), settings, interface).await
     }
 
-    /// Starts a coordinator that judges what expires by `clock`.
+    /// Starts a coordinator that evaluates expiry by `clock`.
     ///
     /// # Errors
-    /// When the store is damaged, or an address is taken.
-    pub async fn start_by(
+    /// When a setting is missing or too short, the store is damaged, or an address is in use.
+    pub async fn start_with_clock(
         clock: MonotonicClock,
         settings: ServiceSettings,
         interface: Arc<dyn ControlInterface>,
@@ -290,7 +298,7 @@
         let http = bind(control)?;
         let wire = bind(settings.wire_address())?;
         let metrics = settings.listen.metrics.map(bind).transpose()?;
-        let identity = identity::load_or_draw(&settings)?;
+        let identity = identity::load_or_create(&settings)?;
         let stop = CancellationToken::new();
         let addresses = AddressBook::dialling_from(Some(settings.address))
             .at_member_port(settings.member_port());
@@ -316,15 +324,15 @@
             clock,
             sessions: Sessions::default(),
             upstream: upstream::Upstream::default(),
-            places: member_zones::Places::default(),
+            member_zones: member_zones::MemberZones::default(),
             routers: Mutex::default(),
-            calls: Semaphore::new(orders::CALLS_AT_ONCE),
+            call_permits: Semaphore::new(orders::MAX_CONCURRENT_CALLS),
             relay: relay::Relay::default(),
             wake: Notify::new(),
-            feeding: watch::Sender::new(false),
+            feed_available: watch::Sender::new(false),
             leading: watch::Sender::new(false),
             applicants: Mutex::default(),
-            asked_to_join: Mutex::default(),
+            join_requests: Mutex::default(),
             redundancy: Mutex::default(),
             stop: stop.clone(),
             metrics: Metrics::default(),
@@ -336,7 +344,9 @@
             settings,
         });
         let zone = Zone::from(shared.settings.zone.as_str());
-        shared.places.note(shared.settings.wire_address(), &zone);
+        shared
+            .member_zones
+            .note(shared.settings.wire_address(), &zone);
         emit(&ControllerRecord::Started {
             name: &shared.settings.name,
             zone: &shared.settings.zone,
@@ -350,12 +360,14 @@
         thread.spawn(stop.clone().run_until_cancelled_owned(accepting));
         spawn(Box::pin(feed::accept_all(wire, shared.clone())));
         spawn(Box::pin(upstream::run(shared.clone())));
-        spawn(Box::pin(upstream::keep_routers(shared.clone())));
-        spawn(Box::pin(configuration_rollout::follow(shared.clone())));
-        spawn(Box::pin(join::keep_joined(shared.clone())));
+        spawn(Box::pin(upstream::retain_routers(shared.clone())));
+        spawn(Box::pin(configuration_rollout::publish_committed(
+            shared.clone(),
+        )));
+        spawn(Box::pin(join::maintain_membership(shared.clone())));
         spawn(Box::pin(leader_loop::run(shared.clone())));
         spawn(Box::pin(relay::run(shared.clone())));
-        spawn(Box::pin(watch_sleep(shared.clone())));
+        spawn(Box::pin(watch_suspension(shared.clone())));
         if let Some(metrics) = metrics {
             let handler = api::metrics_handler(shared.clone());
             let limits = ServerLimits::default();
@@ -372,22 +384,22 @@
         Ok(Self { shared })
     }
 
-    /// Follows changed settings: the seeds take effect at once, all else at the
-    /// next start.
+    /// Applies changed settings: seeds take effect at once, all other settings at the next
+    /// start.
     pub fn reload(&self, settings: &ServiceSettings) {
         let seeds = self.shared.seeds.follow(settings);
         emit(&ControllerRecord::Reloaded { seeds });
     }
 
-    /// Waits until the replica ends by itself, and tells why: the process has to end, so that
-    /// whoever runs it starts it again.
+    /// Waits until the replica fails and returns the reason. The process has to exit then, so
+    /// that its supervisor restarts it.
     pub async fn failed(&self) -> Arc<str> {
         let problem = self.shared.replica.failed().await;
         emit(&ControllerRecord::Failed { problem: &problem });
         problem
     }
 
-    /// Stops as planned: hands the leadership over first.
+    /// Stops gracefully: hands the leadership over first.
     pub async fn stop(self) {
         self.shared.replica.stop().await;
         self.shared.stop.cancel();
@@ -395,7 +407,7 @@
     }
 }
 
-/// Starts the replica; to be run on the members' thread.
+/// Starts the replica; the returned future has to run on the thread of the control group.
 fn start_replica(
     settings: &ServiceSettings,
     identity: &identity::Identity,
--- a/crates/coordinator/src/limits.rs
+++ b/crates/coordinator/src/limits.rs
@@ -1,30 +1,34 @@
-//! Limits that instances name, at the leader: what routers heard of them, who may send when.
+//! The leader's accounts of the rate limits that instances report in their answers: takes the
+//! observations of routers, and grants them permits to send.
+//!
+//! Invariant: permits are granted only while the leader is in contact with a quorum.
 
 use crate::Shared;
 use crate::records::ControllerRecord;
-use crate::reports::in_contact;
+use crate::reports::has_quorum_contact;
 use courseshunt_records::emit;
 use courseshunt_services::{
     FeedMessage, LimitAnswer, LimitAsk, LimitVerdict, LimitWord, RequestRate,
 };
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 
-/// Takes what a router tells; returns the answers to its questions, if it has any.
-pub(crate) fn take(
-    router: &str,
-    words: &[LimitWord],
-    asks: &[LimitAsk],
+/// Handles a router's observed limits and its requests for permits; returns the answers, if it
+/// sent requests.
+pub(crate) fn handle_report(
+    reporter: &str,
+    reports: &[LimitWord],
+    requests: &[LimitAsk],
     shared: &Shared,
 ) -> Option<FeedMessage> {
     let now = shared.clock.now();
-    for word in words {
-        note(router, word, now, shared);
+    for report in reports {
+        note_limit(reporter, report, now, shared);
     }
-    let answers = match in_contact(shared) {
-        true => grant(router, asks, now, shared),
-        false => asks
+    let answers = match has_quorum_contact(shared) {
+        true => answer_requests(reporter, requests, now, shared),
+        false => requests
             .iter()
-            .map(|ask| answer(ask, LimitVerdict::Unknown))
+            .map(|request| answer(request, LimitVerdict::Unknown))
             .collect(),
     };
     if shared.limits().has_news() {
@@ -33,54 +37,59 @@
     (!answers.is_empty()).then_some(FeedMessage::LimitAnswers(answers))
 }
 
-/// Takes note of a limit that an answer to this leader itself names.
-pub(crate) fn heard(instance: &RunnerId, rate: RequestRate, shared: &Shared) {
-    let word = LimitWord {
+/// Notes a limit that an instance reported in a reply to this leader.
+pub(crate) fn note_own(instance: &RunnerId, rate: RequestRate, shared: &Shared) {
+    let report = LimitWord {
         instance: instance.clone(),
         rate: Some(rate),
         age: Millis(0),
     };
-    note(&shared.settings.name, &word, shared.clock.now(), shared);
+    note_limit(&shared.settings.name, &report, shared.clock.now(), shared);
     if shared.limits().has_news() {
         shared.wake.notify_one();
     }
 }
 
-fn note(router: &str, word: &LimitWord, now: Timestamp, shared: &Shared) {
-    if shared.limits().note(word, now) {
+fn note_limit(reporter: &str, report: &LimitWord, now: Timestamp, shared: &Shared) {
+    if shared.limits().note(report, now) {
         emit(&ControllerRecord::InstanceLimits {
-            instance: word.instance.as_str(),
-            limit_per_1000_s: word.rate.map(|rate| rate.0),
-            told_by: router,
-            age_ms: word.age.0,
+            instance: report.instance.as_str(),
+            limit_per_1000_s: report.rate.map(|rate| rate.0),
+            told_by: reporter,
+            age_ms: report.age.0,
         });
     }
 }
 
-fn grant(router: &str, asks: &[LimitAsk], now: Timestamp, shared: &Shared) -> Vec<LimitAnswer> {
-    let granted = asks.iter().map(|ask| {
-        note(router, &ask.word, now, shared);
-        let verdict = shared.limits().ask(ask, now);
+fn answer_requests(
+    reporter: &str,
+    requests: &[LimitAsk],
+    now: Timestamp,
+    shared: &Shared,
+) -> Vec<LimitAnswer> {
+    let granted = requests.iter().map(|request| {
+        note_limit(reporter, &request.word, now, shared);
+        let verdict = shared.limits().ask(request, now);
         shared.metrics.limit_verdict(verdict);
-        answer(ask, verdict)
+        answer(request, verdict)
     });
     granted.collect()
 }
 
-fn answer(ask: &LimitAsk, verdict: LimitVerdict) -> LimitAnswer {
+fn answer(request: &LimitAsk, verdict: LimitVerdict) -> LimitAnswer {
     LimitAnswer {
-        number: ask.number,
+        number: request.number,
         verdict,
     }
 }
 
-/// What all routers are to be told; none where no instance names a limit. Instances that are
-/// gone are forgotten, and placement follows.
-pub(crate) fn told(shared: &Shared, now: Timestamp) -> Option<FeedMessage> {
+/// The feed message with all limits; `None` if no instance reports a limit. Removes instances
+/// that are gone, and passes the present rates to the placement engine.
+pub(crate) fn feed_message(shared: &Shared, now: Timestamp) -> Option<FeedMessage> {
     let mut engine = shared.engine();
     let mut limits = shared.limits();
     limits.retain(|instance| engine.knows(instance), now);
     engine.set_limits(limits.rates());
-    let words = limits.words(now);
-    (!words.is_empty()).then_some(FeedMessage::Limits(words))
+    let reports = limits.words(now);
+    (!reports.is_empty()).then_some(FeedMessage::Limits(reports))
 }
--- a/crates/coordinator/src/member_thread.rs
+++ b/crates/coordinator/src/member_thread.rs
@@ -1,10 +1,10 @@
-//! The thread of the control group: its replica, the links between members, and the
+//! The thread of the control group: runs the replica, the connections between members, and the
 //! listener for them.
 //!
-//! Invariant: nothing runs here whose cost grows with the routers or instances of the
-//! fleet; their upkeep runs on the process's other thread, and the kernel shares the core
-//! between the two. So heartbeats leave in time however long a plan or the taking over of
-//! 10,000 instances takes. What both threads use is locked for the time of a copy only.
+//! Invariant: nothing runs here whose cost grows with the number of routers or instances. That
+//! work runs on the process's other thread, and the kernel shares the core between the two, so
+//! that heartbeats are sent in time while the other thread plans or restores 10,000 instances.
+//! State that both threads use is locked only while it is copied.
 
 use crate::error::{CoordinatorError, ThreadSnafu};
 use crate::join;
@@ -23,13 +23,13 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// Name of the thread, as the system shows it.
-const NAME: &str = "members";
+/// Name of the thread in the operating system.
+const THREAD_NAME: &str = "members";
 
-/// Starts the thread; it ends with the token.
+/// Starts the thread; it ends when the token is cancelled.
 ///
 /// # Errors
-/// When the system allows no further thread.
+/// When the runtime or the thread can't be created.
 pub(crate) fn start(stop: CancellationToken) -> Result<Handle, CoordinatorError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -37,13 +37,14 @@
         .context(ThreadSnafu { step: "build" })?;
     let handle = runtime.handle().clone();
     std::thread::Builder::new()
-        .name(NAME.to_owned())
+        .name(THREAD_NAME.to_owned())
         .spawn(move || runtime.block_on(stop.cancelled()))
         .context(ThreadSnafu { step: "start" })?;
     Ok(handle)
 }
 
-/// Accepts other members, and processes that want to join, until the stop.
+/// Accepts connections of other members, and of processes that want to join, until the process
+/// stops.
 pub(crate) async fn accept_all(listener: TcpListener, shared: Arc<Shared>) {
     let serve = |stream, address| serve_peer(stream, address, shared.clone());
     accept::accept_all(listener, "members", serve).await;
@@ -73,10 +74,10 @@
         version,
     } = connection;
     let PeerIdentity::Controller(peer) = peer else {
-        log::warn!("members: {peer} connected where only members do");
+        log::warn!("members: connection of {peer} at {address} closed: not a controller");
         return Ok(());
     };
-    // All members listen on the same ports.
+    // All members listen on the same port numbers.
     let wire_address = SocketAddr::new(address.ip(), shared.settings.wire_port);
     shared.addresses.set(peer, wire_address);
     shared.addresses.speaks(peer, version);
@@ -101,23 +102,26 @@
                 member,
                 wire_address,
             }) => {
-                let answer = take_in(member, &wire_address, shared).await;
+                let answer = handle_join(member, &wire_address, shared).await;
                 let _ = replies.send(answer).await;
             }
-            // Production's build sends them by the same connection.
+            // The previous release sends registrations by the connection between members.
             Some(Message::Registrations(batch)) => {
-                let answer = relay::take(batch, peer, shared);
+                let answer = relay::handle_batch(batch, peer, shared);
                 let _ = replies.send(answer).await;
             }
-            Some(other) => log::warn!("members: controller {peer} sent {other:?}"),
+            Some(other) => {
+                log::warn!("members: unexpected message from controller {peer}: {other:?}")
+            }
             None => {}
         }
     }
     Ok(())
 }
 
-/// Notes that a process wants to join, and tells it where the leader is.
-async fn take_in(member: ControllerId, wire_address: &str, shared: &Shared) -> Message {
+/// Handles a join request: notes the applicant if this member leads, and replies with the leader
+/// and the members.
+async fn handle_join(member: ControllerId, wire_address: &str, shared: &Shared) -> Message {
     let leads = shared.replica.leads();
     if leads && let Ok(address) = wire_address.parse() {
         shared.addresses.set(member, address);
@@ -125,10 +129,10 @@
     }
     let mut known = join::members(shared).await;
     if known.is_empty() {
-        // No member itself: whom it has met may know more.
+        // This process is not a member itself; the processes that it has met may know the group.
         known = shared.addresses.all().into_iter().collect();
     }
-    if shared.asked_to_join(member, leads) {
+    if shared.note_join_request(member, leads) {
         emit(&ControllerRecord::AskedToJoin {
             member: member.0,
             address: wire_address,
--- a/crates/coordinator/src/member_zones.rs
+++ b/crates/coordinator/src/member_zones.rs
@@ -1,7 +1,8 @@
-//! In which zones the members are: a router follows one of its own zone, so that the feed
-//! crosses zones once for a controller and not once for each router.
+//! Zones of the members. A router subscribes to a controller of its own zone, so that the feed
+//! crosses zones once for each controller and not once for each router.
 //!
-//! Source: the leader is told by each controller that follows it, and tells all.
+//! Source: each controller reports its zone when it subscribes to the leader, which sends the
+//! zones to all subscribers.
 
 use crate::{Shared, join};
 use courseshunt_services::{FeedMessage, MemberPlace};
@@ -10,24 +11,24 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// See the module; by wire address.
+/// Zones of the members by wire address.
 #[derive(Debug, Default)]
-pub(crate) struct Places {
+pub(crate) struct MemberZones {
     zones: Mutex<BTreeMap<SocketAddr, Zone>>,
 }
 
-impl Places {
+impl MemberZones {
     fn zones(&self) -> MutexGuard<'_, BTreeMap<SocketAddr, Zone>> {
         self.zones.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes where a member is; returns whether that is new.
+    /// Notes the zone of a member; returns whether it has changed.
     pub(crate) fn note(&self, address: SocketAddr, zone: &Zone) -> bool {
         self.zones().insert(address, zone.clone()).as_ref() != Some(zone)
     }
 
-    /// Takes over what the leader tells.
-    pub(crate) fn follow(&self, members: &[MemberPlace]) {
+    /// Applies the zones that the leader sends.
+    pub(crate) fn update(&self, members: &[MemberPlace]) {
         for member in members {
             if let (Ok(address), Some(zone)) = (member.address.parse(), &member.zone) {
                 self.note(address, zone);
@@ -36,10 +37,10 @@
     }
 }
 
-/// The members with their zones, as routers and controllers are told.
-pub(crate) async fn told(shared: &Shared) -> FeedMessage {
+/// The feed message with the members and their zones.
+pub(crate) async fn feed_message(shared: &Shared) -> FeedMessage {
     let members = join::members(shared).await;
-    let zones = shared.places.zones();
+    let zones = shared.member_zones.zones();
     let members = members.into_iter().map(|(_, address)| MemberPlace {
         address: address.to_string(),
         zone: zones.get(&address).cloned(),
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -1,8 +1,8 @@
-//! What the leader does for the members of the group: it takes in, promotes, replaces and
-//! forgets as the crate `membership` decides, records where members are, and tells how many
-//! losses the group can bear.
+//! Membership management by the leader: adds, promotes, replaces and removes members as the crate
+//! `membership` decides, records the addresses of members, and reports how many member losses the
+//! group can tolerate.
 //!
-//! Invariant: one change at a time; the redundancy is looked at also while one is under way.
+//! Invariant: one change at a time; the redundancy is evaluated also while a change is in flight.
 
 use crate::records::ControllerRecord;
 use crate::{Shared, member_zones};
@@ -16,44 +16,45 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Time between looks at the membership.
-const INTERVAL: Millis = Millis(200);
+/// Interval of the checks of the membership.
+const CHECK_INTERVAL: Millis = Millis(200);
 
-/// The care of one leadership for the members.
+/// Membership management of one leadership.
 #[derive(Debug)]
-pub(crate) struct MembersKeeper {
+pub(crate) struct MembershipManager {
     led_since: Timestamp,
-    looked_at: Timestamp,
+    checked_at: Timestamp,
     redundancy: RedundancyWatch,
-    /// A change is under way.
-    changing: Arc<AtomicBool>,
+    /// A change of the membership, or the record of an address, is in flight.
+    change_in_flight: Arc<AtomicBool>,
 }
 
-impl MembersKeeper {
-    /// Begins with a leadership.
+impl MembershipManager {
+    /// Starts with a leadership.
     pub(crate) fn new(now: Timestamp) -> Self {
         Self {
             led_since: now,
-            looked_at: now,
+            checked_at: now,
             redundancy: RedundancyWatch::default(),
-            changing: Arc::default(),
+            change_in_flight: Arc::default(),
         }
     }
 
-    /// Looks at the members when that is due, and makes the next change, if there is one.
-    pub(crate) async fn keep(&mut self, shared: &Arc<Shared>, now: Timestamp) {
-        if now.since(self.looked_at) < INTERVAL {
+    /// Checks the membership if [`CHECK_INTERVAL`] has passed, and starts the next change, if
+    /// there is one.
+    pub(crate) async fn run_if_due(&mut self, shared: &Arc<Shared>, now: Timestamp) {
+        if now.since(self.checked_at) < CHECK_INTERVAL {
             return;
         }
-        self.looked_at = now;
+        self.checked_at = now;
         let members = shared.replica.members().await;
         let all = members.membership.all().into_iter();
         let known = all.filter_map(|id| shared.addresses.get(id).map(|address| (id, address)));
         let addresses: BTreeMap<ControllerId, SocketAddr> = known.collect();
-        let joining = applicants(shared, &members, now);
+        let joining = present_applicants(shared, &members, now);
         let redundancy = Redundancy::of(shared.id, &members, joining.len());
         self.watch_redundancy(shared, redundancy, now);
-        if self.changing.load(Ordering::Relaxed) {
+        if self.change_in_flight.load(Ordering::Relaxed) {
             return;
         }
         let view = GroupView {
@@ -64,29 +65,29 @@
             led_for: now.since(self.led_since),
         };
         let change = decide(&view);
-        let unrecorded = unrecorded(shared, &members, &addresses);
-        if change.is_none() && unrecorded.is_none() {
+        let unrecorded_address = unrecorded_address(shared, &members, &addresses);
+        if change.is_none() && unrecorded_address.is_none() {
             return;
         }
-        self.changing.store(true, Ordering::Relaxed);
+        self.change_in_flight.store(true, Ordering::Relaxed);
         let shared = shared.clone();
-        let changing = self.changing.clone();
+        let change_in_flight = self.change_in_flight.clone();
         tokio::spawn(async move {
-            if let Some((member, address)) = unrecorded {
+            if let Some((member, address)) = unrecorded_address {
                 record_address(&shared, member, address).await;
             }
             if let Some(change) = change {
                 make_change(&shared, change).await;
             }
-            changing.store(false, Ordering::Relaxed);
+            change_in_flight.store(false, Ordering::Relaxed);
         });
     }
 
-    /// Records and shows how many losses the group can bear.
+    /// Records and exposes how many losses the group can tolerate.
     fn watch_redundancy(&mut self, shared: &Shared, present: Redundancy, now: Timestamp) {
         let changed = self.redundancy.update(present, now);
         let below_full = self.redundancy.below_full_for(now);
-        shared.tell_redundancy(Some((present, below_full)));
+        shared.set_redundancy(Some((present, below_full)));
         if !changed {
             return;
         }
@@ -102,9 +103,10 @@
     }
 }
 
-/// Processes to be taken in: those that asked, and those that live at a member's address
-/// under another identity, since nobody else may know a process whose disk is new.
-fn applicants(
+/// Processes that are to join: those that sent a request, and those that answer at a member's
+/// address under another identity, since a process with a new disk may be known to no other
+/// member.
+fn present_applicants(
     shared: &Shared,
     members: &MembersView,
     now: Timestamp,
@@ -117,8 +119,8 @@
     applicants.present(&members.membership.all(), now)
 }
 
-/// A member whose address the replicated state lacks.
-fn unrecorded(
+/// The next member whose address the replicated state lacks.
+fn unrecorded_address(
     shared: &Shared,
     members: &MembersView,
     known: &BTreeMap<ControllerId, SocketAddr>,
@@ -129,7 +131,7 @@
     next_to_record(&members.membership.all(), &recorded.collect(), known)
 }
 
-/// Has every member know where this one is.
+/// Records a member's address in the log, so that every member has it.
 async fn record_address(shared: &Shared, member: ControllerId, address: SocketAddr) {
     let wire_address = address.to_string();
     let record = Command::RecordMember {
@@ -137,7 +139,7 @@
         wire_address,
     };
     if let Err(error) = shared.replica.submit_as_leader(record).await {
-        log::warn!("coordinator: record the address of controller {member}: {error}");
+        log::warn!("coordinator: record address {address} of controller {member}: {error}");
     }
 }
 
@@ -153,5 +155,7 @@
         index: changed.as_ref().ok().map(|index| index.0),
         problem: changed.as_ref().err().map(ToString::to_string).as_deref(),
     });
-    shared.sessions.broadcast(member_zones::told(shared).await);
+    shared
+        .sessions
+        .broadcast(member_zones::feed_message(shared).await);
 }
--- a/crates/coordinator/src/metrics.rs
+++ b/crates/coordinator/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of a controller.
+//! Counters, gauges and histograms of a controller.
 
 use courseshunt_membership::Redundancy;
 use courseshunt_metrics::page_with_process;
@@ -11,14 +11,14 @@
 use prometheus_client::registry::Registry;
 use std::time::Duration;
 
-/// Buckets of the time in which a configuration reaches all routers, in seconds.
-const SPREAD_BUCKETS_S: [f64; 8] = [0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
+/// Buckets of the time until a configuration is in force at all routers, in seconds.
+const ROLLOUT_BUCKETS_S: [f64; 8] = [0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
 
 type Labels = Vec<(&'static str, String)>;
 
-/// What a page tells of the present moment.
+/// Values of the gauges at the time of a page.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Present {
+pub(crate) struct CurrentValues {
     pub(crate) leads: bool,
     pub(crate) term: u64,
     pub(crate) configuration: u64,
@@ -26,11 +26,11 @@
     pub(crate) instances: usize,
     /// Time since the last contact with a quorum, in milliseconds.
     pub(crate) contact_age_ms: u64,
-    /// Redundancy of the group and the time below the full one; known to the leader.
+    /// Redundancy of the group and the time below full redundancy; known only to the leader.
     pub(crate) redundancy: Option<(Redundancy, Millis)>,
 }
 
-/// See the module.
+/// The registry of a controller's metrics.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
@@ -42,7 +42,7 @@
     limit_verdicts: Family<Labels, Counter>,
     leaderships: Counter,
     slept_milliseconds: Counter,
-    spreads: Histogram,
+    rollouts: Histogram,
     present: Family<Labels, Gauge>,
 }
 
@@ -58,7 +58,7 @@
             limit_verdicts: Family::default(),
             leaderships: Counter::default(),
             slept_milliseconds: Counter::default(),
-            spreads: Histogram::new(SPREAD_BUCKETS_S),
+            rollouts: Histogram::new(ROLLOUT_BUCKETS_S),
             present: Family::default(),
         };
         let registry = &mut metrics.registry;
@@ -67,9 +67,9 @@
         let loads = metrics.store_loads.clone();
         registry.register("store_loads", "Loads from the weight store", loads);
         let registrations = metrics.registrations.clone();
-        registry.register("registrations", "Registrations taken", registrations);
+        registry.register("registrations", "Registrations accepted", registrations);
         let refused = metrics.registrations_refused.clone();
-        let help = "Registrations that could not be read whole";
+        let help = "Registrations rejected because they could not be read in full";
         registry.register("registrations_refused", help, refused);
         let configurations = metrics.configurations.clone();
         registry.register(
@@ -78,22 +78,18 @@
             configurations,
         );
         let verdicts = metrics.limit_verdicts.clone();
-        let help = "Decisions on requests for instances that name a limit, by outcome";
+        let help = "Decisions on requests for instances that report a rate limit, by outcome";
         registry.register("limit_verdicts", help, verdicts);
         let leaderships = metrics.leaderships.clone();
-        registry.register(
-            "leaderships",
-            "Times that this member was elected",
-            leaderships,
-        );
+        registry.register("leaderships", "Elections that this member won", leaderships);
         let slept = metrics.slept_milliseconds.clone();
-        let help = "Time in which the machine was suspended";
+        let help = "Time for which the machine was suspended, in milliseconds";
         registry.register("slept_milliseconds", help, slept);
-        let spreads = metrics.spreads.clone();
+        let rollouts = metrics.rollouts.clone();
         registry.register(
             "configuration_spread_seconds",
             "Time from the commit of a configuration until it is in force at all routers",
-            spreads,
+            rollouts,
         );
         let present = metrics.present.clone();
         registry.register("present", "Present values by name", present);
@@ -118,7 +114,7 @@
 }
 
 impl Metrics {
-    /// Counts a decision on a request for an instance that names a limit.
+    /// Counts a decision on a request for an instance that reports a rate limit.
     pub(crate) fn limit_verdict(&self, verdict: LimitVerdict) {
         let outcome = match verdict {
             LimitVerdict::Granted { after: Millis(0) } => "granted",
@@ -154,20 +150,20 @@
         self.configurations.get_or_create(&labels).inc();
     }
 
-    pub(crate) fn spread(&self, after: Millis) {
-        self.spreads.observe(Duration::from(after).as_secs_f64());
+    pub(crate) fn rollout(&self, after: Millis) {
+        self.rollouts.observe(Duration::from(after).as_secs_f64());
     }
 
-    pub(crate) fn slept(&self, slept: Millis) {
-        self.slept_milliseconds.inc_by(slept.0);
+    pub(crate) fn suspended(&self, duration: Millis) {
+        self.slept_milliseconds.inc_by(duration.0);
     }
 
     pub(crate) fn leadership(&self) {
         self.leaderships.inc();
     }
 
-    /// The page as text.
-    pub(crate) fn page(&self, present: &Present) -> String {
+    /// Renders the page as text.
+    pub(crate) fn page(&self, present: &CurrentValues) -> String {
         let values = [
             ("leads", u64::from(present.leads)),
             ("term", present.term),
@@ -185,7 +181,7 @@
         page_with_process(&self.registry)
     }
 
-    /// Shows a present value; one that is not known here is left out.
+    /// Sets a gauge, or removes it if its value is unknown here.
     fn set_present(&self, name: &str, value: Option<u64>) {
         let labels = vec![("name", name.to_owned())];
         match value {
--- a/crates/coordinator/src/order_permission.rs
+++ b/crates/coordinator/src/order_permission.rs
@@ -1,74 +1,75 @@
 //! Decides when a leader may give orders to instances. Pure.
 //!
-//! Invariants: a member records itself in the log as the holder before its
-//! first order, so that a leader that finds itself recorded knows that nobody
-//! else gave orders since its own; any other leader waits a lease, in which the
-//! orders of the holder before it have ended.
+//! Invariants: a member records itself in the log as the holder of the orders before its first
+//! order. A leader that finds itself recorded therefore gave the last orders. Any other leader
+//! waits for the lease, within which the orders of the previous holder have ended.
 
 use courseshunt_types::{ControllerId, Millis};
 use std::collections::BTreeSet;
 
-/// Least time from an election to the first order: routers report again, and
-/// instances register.
-const LEAST_LED: Millis = Millis(1_000);
-/// A member that started so recently, and leads, was probably elected because
-/// the whole group restarted; the holder before is then as good a leader.
-const RESTARTED_WITHIN: Millis = Millis(10_000);
-/// The leadership is not handed over sooner after the election.
-const LEAST_BEFORE_HAND_OVER: Millis = Millis(60);
+/// Minimum time from an election to the first order, in which routers report and instances
+/// register again.
+const MIN_TIME_SINCE_ELECTION: Millis = Millis(1_000);
+/// A leader whose process started within this time was probably elected because the whole group
+/// restarted; the previous holder can then lead as well.
+const RECENT_START: Millis = Millis(10_000);
+/// Minimum time from an election to a hand-over of the leadership.
+const MIN_TIME_BEFORE_HAND_OVER: Millis = Millis(60);
 
-/// What the decision rests on.
+/// Inputs of [`decide`].
 #[derive(Debug, Clone)]
-pub struct TurnView<'a> {
+pub struct OrderView<'a> {
     /// This member, the leader.
     pub own: ControllerId,
-    /// The recorded holder.
+    /// The member that is recorded as the holder of the orders.
     pub holder: Option<ControllerId>,
-    /// Whether everything committed before this leadership is applied here.
+    /// Whether all entries committed before this leadership are applied here.
     pub caught_up: bool,
     /// Time since this member was elected.
-    pub led_for: Millis,
+    pub since_election: Millis,
     /// Time since this process started.
-    pub up_for: Millis,
-    /// Time that must lie between the orders of two holders.
+    pub uptime: Millis,
+    /// Time that must pass between the orders of two holders.
     pub lease: Millis,
-    /// Voters that were heard just now.
+    /// Voters that answered recently.
     pub live: &'a BTreeSet<ControllerId>,
 }
 
-/// What to do about orders.
+/// What the leader does before it gives orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderTurn {
-    /// Give them.
-    Give,
-    /// Record this member as the holder first.
-    Record,
-    /// Hand the leadership over to the holder, which need not wait.
+pub enum OrderDecision {
+    /// Give orders.
+    Allow,
+    /// Record this member as the holder of the orders first.
+    RecordHolder,
+    /// Hand the leadership over to the recorded holder, which need not wait for the lease.
     HandOver(ControllerId),
-    /// Not yet.
+    /// Give no orders yet.
     Wait,
 }
 
-/// Decides.
+/// Decides whether the leader gives orders now, and what it does first if not.
 #[must_use]
-pub fn decide(view: &TurnView<'_>) -> OrderTurn {
+pub fn decide(view: &OrderView<'_>) -> OrderDecision {
     if !view.caught_up {
-        return OrderTurn::Wait;
+        return OrderDecision::Wait;
     }
     match view.holder {
-        Some(holder) if holder == view.own => match view.led_for >= LEAST_LED {
-            true => OrderTurn::Give,
-            false => OrderTurn::Wait,
-        },
-        None => OrderTurn::Record,
-        Some(_) if view.led_for >= view.lease => OrderTurn::Record,
-        Some(holder) if may_hand_over(view, holder) => OrderTurn::HandOver(holder),
-        Some(_) => OrderTurn::Wait,
+        Some(holder) if holder == view.own => {
+            match view.since_election >= MIN_TIME_SINCE_ELECTION {
+                true => OrderDecision::Allow,
+                false => OrderDecision::Wait,
+            }
+        }
+        None => OrderDecision::RecordHolder,
+        Some(_) if view.since_election >= view.lease => OrderDecision::RecordHolder,
+        Some(holder) if may_hand_over(view, holder) => OrderDecision::HandOver(holder),
+        Some(_) => OrderDecision::Wait,
     }
 }
 
-fn may_hand_over(view: &TurnView<'_>, holder: ControllerId) -> bool {
-    view.up_for < RESTARTED_WITHIN
-        && view.led_for >= LEAST_BEFORE_HAND_OVER
+fn may_hand_over(view: &OrderView<'_>, holder: ControllerId) -> bool {
+    view.uptime < RECENT_START
+        && view.since_election >= MIN_TIME_BEFORE_HAND_OVER
         && view.live.contains(&holder)
 }
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -1,8 +1,12 @@
-//! Carries out the placement engine's steps: orders and questions to instances.
+//! Executes the steps of the placement engine: orders to instances and requests for their
+//! reports.
+//!
+//! Invariant: an order is sent only while this member leads and was in contact with a quorum
+//! within [`QUORUM_CONTACT_LIMIT`]; it carries the term as its fence.
 
 use crate::interface::InstanceCall;
 use crate::records::ControllerRecord;
-use crate::reports::take_leaving;
+use crate::reports::handle_leaving;
 use crate::{Shared, limits};
 use bytes::Bytes;
 use courseshunt_http::{
@@ -18,77 +22,77 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Longest wait for an instance's answer.
-const CALL_LIMIT: Duration = Duration::from_millis(250);
-/// Calls that are under way at once; others wait for their turn. Each takes a connection and
-/// a task, and an instance answers within a few milliseconds.
-pub(crate) const CALLS_AT_ONCE: usize = 32;
-/// Longest answer, in bytes.
-const MAX_ANSWER_BYTES: usize = 256 * 1024;
-/// Orders are given only by a leader that was in contact with a quorum so
-/// recently that no other leader's lease can have passed.
-const CONTACT_LIMIT: Millis = Millis(330);
+/// Time limit of a call to an instance, with its reply.
+const CALL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Maximum calls in flight; further calls wait for a permit. Each call takes a connection and a
+/// task, and an instance answers within a few milliseconds.
+pub(crate) const MAX_CONCURRENT_CALLS: usize = 32;
+/// Longest reply of an instance, in bytes.
+const MAX_REPLY_BYTES: usize = 256 * 1024;
+/// A leader gives orders only if its last contact with a quorum is younger than this, so that no
+/// later leader can have waited out the lease.
+const QUORUM_CONTACT_LIMIT: Millis = Millis(330);
 
-/// Carries out one step and tells the engine what became of it.
-pub(crate) async fn carry_out(step: PlacementStep, shared: Arc<Shared>) {
-    // Never closed.
-    let _turn = shared.calls.acquire().await;
+/// Executes one step and reports its outcome to the engine.
+pub(crate) async fn execute(step: PlacementStep, shared: Arc<Shared>) {
+    // The semaphore is never closed.
+    let _permit = shared.call_permits.acquire().await;
     match step {
         PlacementStep::Ask { instance, address } => {
-            let reply = ask(&instance, &address, &shared).await;
+            let reply = request_report(&instance, &address, &shared).await;
             let report = reply.as_ref().and_then(|reply| read_report(reply, &shared));
             let now = shared.clock.now();
             shared.engine().on_report(&instance, report, now);
-            hear(&instance, reply.as_ref(), &shared);
+            note_reply(&instance, reply.as_ref(), &shared);
         }
         PlacementStep::Give(order) => {
             let began = Instant::now();
-            let (outcome, reply) = give(&order, &shared).await;
-            record(&order, outcome, began.elapsed(), &shared);
+            let (outcome, reply) = send_order(&order, &shared).await;
+            record_order(&order, outcome, began.elapsed(), &shared);
             let now = shared.clock.now();
             shared.engine().on_outcome(&order, outcome, now);
-            hear(&order.instance, reply.as_ref(), &shared);
+            note_reply(&order.instance, reply.as_ref(), &shared);
         }
     }
     shared.wake.notify_one();
 }
 
-/// An instance's answer to a call.
+/// Reply of an instance to a call.
 struct CallReply {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// Takes note of what an answer says of its instance, whatever was asked: rest, leaving,
-/// a limit.
-fn hear(instance: &RunnerId, reply: Option<&CallReply>, shared: &Shared) {
+/// Evaluates the headers that any reply can carry, whatever the call was: a notice that the
+/// instance leaves, a rate limit, a backoff.
+fn note_reply(instance: &RunnerId, reply: Option<&CallReply>, shared: &Shared) {
     let Some(reply) = reply else {
         return;
     };
     if shared.interface.reports_leaving(&reply.headers) {
         let leaving = std::slice::from_ref(instance);
-        take_leaving(&shared.settings.name, leaving, shared);
+        handle_leaving(&shared.settings.name, leaving, shared);
     }
-    // Another instance that answers at the address speaks for itself.
+    // A limit in this reply is that of another instance, which answers at the address now.
     if reply.status != StatusCode::MISDIRECTED_REQUEST
         && let NamedLimit::Rate(rate) = shared.interface.read_limit(&reply.headers)
     {
-        limits::heard(instance, rate, shared);
+        limits::note_own(instance, rate, shared);
     }
-    let asked = read_asked_rest(reply.status, &reply.headers, SystemTime::now());
-    if let RetryAfter::After(rest) = asked {
+    let backoff = read_asked_rest(reply.status, &reply.headers, SystemTime::now());
+    if let RetryAfter::After(duration) = backoff {
         let now = shared.clock.now();
-        shared.engine().asked_rest(instance, rest, now);
+        shared.engine().asked_rest(instance, duration, now);
         emit(&ControllerRecord::InstanceRests {
             instance: instance.as_str(),
             status: reply.status.as_u16(),
-            rest_ms: rest.0,
+            rest_ms: duration.0,
         });
     }
 }
 
-fn record(order: &Order, outcome: OrderOutcome, took: Duration, shared: &Shared) {
+fn record_order(order: &Order, outcome: OrderOutcome, elapsed: Duration, shared: &Shared) {
     let action = match &order.action {
         OrderAction::LoadModel(_) => "load_model",
         OrderAction::UnloadModel(_) => "unload_model",
@@ -121,11 +125,11 @@
         waited_for: evidence.waited_for,
         from_store: order.from_store,
         store_loads: evidence.store_loads,
-        after_ms: u64::try_from(took.as_millis()).unwrap_or(u64::MAX),
+        after_ms: u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX),
     });
 }
 
-async fn ask(instance: &RunnerId, address: &str, shared: &Shared) -> Option<CallReply> {
+async fn request_report(instance: &RunnerId, address: &str, shared: &Shared) -> Option<CallReply> {
     let call = shared.interface.report_call(instance);
     exchange(call, address, shared).await.ok()
 }
@@ -137,11 +141,11 @@
     }
 }
 
-async fn give(order: &Order, shared: &Shared) -> (OrderOutcome, Option<CallReply>) {
+async fn send_order(order: &Order, shared: &Shared) -> (OrderOutcome, Option<CallReply>) {
     let fence = shared.replica.status().borrow().term.0;
     let leads = shared.replica.leads();
     let contact = shared.replica.confirmation_age();
-    if !leads || contact.is_none_or(|age| age >= CONTACT_LIMIT) {
+    if !leads || contact.is_none_or(|age| age >= QUORUM_CONTACT_LIMIT) {
         return (OrderOutcome::NotSent, None);
     }
     let call = shared
@@ -159,27 +163,27 @@
     address: &str,
     shared: &Shared,
 ) -> Result<CallReply, HttpError> {
-    let request = build(call, address).map_err(|error| HttpError::Connect {
+    let request = build_request(call, address).map_err(|error| HttpError::Connect {
         peer: address.to_owned(),
         problem: error.to_string(),
     })?;
     let work = async {
         let (head, body) = shared.client.send(request).await?.into_parts();
-        let body = read_limited(body, MAX_ANSWER_BYTES, address).await?;
+        let body = read_limited(body, MAX_REPLY_BYTES, address).await?;
         Ok(CallReply {
             status: head.status,
             headers: head.headers,
             body,
         })
     };
-    let finished = tokio::time::timeout(CALL_LIMIT, work).await;
+    let finished = tokio::time::timeout(CALL_TIMEOUT, work).await;
     finished.unwrap_or(Err(HttpError::TimedOut {
         step: "call",
         peer: address.to_owned(),
     }))
 }
 
-fn build(call: InstanceCall, address: &str) -> Result<Request<Body>, hyper::http::Error> {
+fn build_request(call: InstanceCall, address: &str) -> Result<Request<Body>, hyper::http::Error> {
     let mut request = Request::builder()
         .method(call.method)
         .uri(format!("http://{address}{}", call.path))
--- a/crates/coordinator/src/plan_pace.rs
+++ b/crates/coordinator/src/plan_pace.rs
@@ -1,75 +1,76 @@
-//! When the leader plans: a round for all instances and models, or one for what requests wait
-//! for in between.
+//! Schedules the leader's planning rounds: rounds for all instances and models, and urgent rounds
+//! in between, for models and adapters that requests wait for.
 //!
-//! Invariant: each kind takes a bounded part of the leader's time, however large the fleet is
-//! and however often the loop is woken; the feeds and answers to routers have the rest.
+//! Invariant: each kind of round takes a bounded part of the leader's time, whatever the size of
+//! the fleet and however often the loop is woken; the remaining time is for feeds and answers to
+//! routers.
 
 use courseshunt_types::{Millis, Timestamp};
 
-/// Least time between rounds of one kind.
-const LEAST_BETWEEN: Millis = Millis(15);
-/// A round that took some time is followed by a pause of so many times as much.
-const PAUSE_PART: u64 = 4;
+/// Minimum pause between two rounds of one kind.
+const MIN_PAUSE: Millis = Millis(15);
+/// The pause after a round, as a multiple of the round's duration.
+const PAUSE_FACTOR: u64 = 4;
 
-/// A kind of round.
+/// A kind of planning round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlanRound {
-    /// For all instances and models.
+    /// Plans all instances and models.
     All,
-    /// For what requests wait for, which can't wait for the next one for all.
-    Waited,
+    /// Plans only what requests wait for, which should not wait for the next round for all.
+    Urgent,
 }
 
 /// The last round of one kind.
 #[derive(Debug, Clone, Copy)]
-struct Last {
+struct LastRound {
     ended: Timestamp,
-    took: Millis,
+    duration: Millis,
 }
 
-impl Last {
-    fn is_over(&self, now: Timestamp) -> bool {
-        let pause = Millis(self.took.0 * PAUSE_PART).max(LEAST_BETWEEN);
+impl LastRound {
+    fn pause_is_over(&self, now: Timestamp) -> bool {
+        let pause = Millis(self.duration.0 * PAUSE_FACTOR).max(MIN_PAUSE);
         now.since(self.ended) >= pause
     }
 }
 
-/// See the module.
+/// The schedule of planning rounds of one leadership.
 #[derive(Debug, Clone)]
 pub struct PlanPace {
-    all: Last,
-    waited: Last,
+    all: LastRound,
+    urgent: LastRound,
 }
 
 impl PlanPace {
-    /// Begins at `now`.
+    /// Starts at `now`; the first round is due after the minimum pause.
     #[must_use]
-    pub fn begin(now: Timestamp) -> Self {
-        let last = Last {
+    pub fn new(now: Timestamp) -> Self {
+        let last = LastRound {
             ended: now,
-            took: Millis(0),
+            duration: Millis(0),
         };
         Self {
             all: last,
-            waited: last,
+            urgent: last,
         }
     }
 
-    /// The round that is due, if one is; `waits` tells whether requests wait for something.
+    /// The round that is due, if any. An urgent round is due only if requests wait for something.
     #[must_use]
-    pub fn due(&self, waits: bool, now: Timestamp) -> Option<PlanRound> {
-        if self.all.is_over(now) {
+    pub fn due(&self, has_waiting_requests: bool, now: Timestamp) -> Option<PlanRound> {
+        if self.all.pause_is_over(now) {
             return Some(PlanRound::All);
         }
-        (waits && self.waited.is_over(now)).then_some(PlanRound::Waited)
+        (has_waiting_requests && self.urgent.pause_is_over(now)).then_some(PlanRound::Urgent)
     }
 
-    /// Notes a round.
-    pub fn planned(&mut self, round: PlanRound, began: Timestamp, ended: Timestamp) {
-        let took = ended.since(began);
+    /// Notes that a round was run, from `began` to `ended`.
+    pub fn note_round(&mut self, round: PlanRound, began: Timestamp, ended: Timestamp) {
+        let duration = ended.since(began);
         match round {
-            PlanRound::All => self.all = Last { ended, took },
-            PlanRound::Waited => self.waited = Last { ended, took },
+            PlanRound::All => self.all = LastRound { ended, duration },
+            PlanRound::Urgent => self.urgent = LastRound { ended, duration },
         }
     }
 }
--- a/crates/coordinator/src/quarantine.rs
+++ b/crates/coordinator/src/quarantine.rs
@@ -1,5 +1,8 @@
-//! The leader's word on requests under which instances ended: what routers report, what
-//! they are told, what is kept durably.
+//! The leader's quarantine of request contents during which instances ended: takes the reports
+//! of routers, publishes suspected and quarantined contents to routers, and records the
+//! quarantine in the log.
+//!
+//! Invariant: a quarantine outlives the loss of all processes, since it is recorded in the log.
 
 use crate::Shared;
 use crate::records::ControllerRecord;
@@ -10,8 +13,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// What routers are told.
-pub(crate) fn told(shared: &Shared) -> FeedMessage {
+/// The feed message with the suspected and quarantined contents.
+pub(crate) fn feed_message(shared: &Shared) -> FeedMessage {
     let (suspected, quarantined) = shared.quarantine().told();
     FeedMessage::Quarantine {
         suspected,
@@ -19,8 +22,8 @@
     }
 }
 
-/// Takes a router's report over, and tells all routers at once what has changed.
-pub(crate) fn take(ends: &[InstanceEnd], answered: Vec<Digest>, shared: &Shared) {
+/// Applies a router's report, and sends all routers what it changed.
+pub(crate) fn handle_report(ends: &[InstanceEnd], answered: Vec<Digest>, shared: &Shared) {
     let now = shared.clock.now();
     let mut ledger = shared.quarantine();
     for end in ends {
@@ -30,26 +33,26 @@
         ledger.answered(content);
     }
     drop(ledger);
-    tell(shared);
+    publish_changes(shared);
     shared.wake.notify_one();
 }
 
-/// Ends quarantines whose time is over.
+/// Ends quarantines whose period has passed.
 pub(crate) fn expire(shared: &Shared, now: Timestamp) {
     shared.quarantine().expire(now);
-    tell(shared);
+    publish_changes(shared);
 }
 
-fn tell(shared: &Shared) {
-    let (news, changes) = {
+fn publish_changes(shared: &Shared) {
+    let (is_changed, changes) = {
         let mut ledger = shared.quarantine();
         (ledger.take_news(), ledger.take_changes())
     };
     for change in changes {
         emit(&record_of(change));
     }
-    if news {
-        shared.sessions.broadcast(told(shared));
+    if is_changed {
+        shared.sessions.broadcast(feed_message(shared));
     }
 }
 
@@ -66,9 +69,9 @@
     }
 }
 
-/// Keeps the contents in quarantine durably: a loss of all processes must not cost
-/// instances anew.
-pub(crate) fn record(shared: &Arc<Shared>, recording: &Arc<AtomicBool>) {
+/// Records the quarantined contents in the log, unless such a record is in flight. Without it,
+/// the same requests would end further instances after a restart of all processes.
+pub(crate) fn persist(shared: &Arc<Shared>, recording: &Arc<AtomicBool>) {
     let contents = shared.quarantine().to_record();
     if contents == shared.replica.state().services.quarantined
         || recording.swap(true, Ordering::Relaxed)
--- a/crates/coordinator/src/records.rs
+++ b/crates/coordinator/src/records.rs
@@ -1,5 +1,5 @@
-//! What a controller records: one line for each decision, and for each change
-//! of what it believes.
+//! Records of a controller: one line for each decision, and for each change of the state that it
+//! observes.
 
 use courseshunt_membership::JoinAnswer;
 use courseshunt_records::Record;
@@ -8,157 +8,158 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// See the module.
+/// A record of a controller, tagged with the name of its event.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub(crate) enum ControllerRecord<'a> {
-    /// It starts.
+    /// The controller starts.
     Started {
         name: &'a str,
         zone: &'a str,
         member: u64,
         founds: bool,
     },
-    /// Its replica has ended by itself; the process ends.
+    /// The replica has failed; the process exits.
     Failed { problem: &'a str },
-    /// It has stopped as planned.
+    /// The controller has stopped gracefully.
     Stopped,
-    /// Settings were read again.
+    /// The settings were reloaded.
     Reloaded { seeds: usize },
-    /// The machine was suspended; contact and what was heard before are older by that.
+    /// The machine was suspended; earlier contacts and observations are older by this time.
     Slept { slept_ms: u64 },
-    /// It leads from now on.
+    /// This member was elected as the leader.
     Leads { term: u64 },
-    /// It leads no more.
+    /// This member no longer leads.
     LeadsNoMore { leader: Option<&'a str> },
-    /// It hands the leadership over to the member that gave orders last.
+    /// The leadership is handed over to the member that gave the last orders.
     HandsOver { to: u64 },
-    /// It was to be recorded as the member that gives orders.
+    /// The member was recorded in the log as the holder of the orders, or this failed.
     HoldsOrders { problem: Option<&'a str> },
-    /// The membership of the group was to be changed.
+    /// The membership of the group was changed, or this failed.
     Membership {
         change: &'a str,
         /// Log index of the committed change.
         index: Option<u64>,
         problem: Option<&'a str>,
     },
-    /// It asked to be taken into the group; written when the answers differ from the last ones.
+    /// Join requests were sent; written when the answers differ from the previous ones.
     AsksToJoin { asked: &'a [AskedMember] },
-    /// A process asked here to be taken into the group; written once for each answer.
+    /// A join request was received; written once for each different answer to a process.
     AskedToJoin {
         member: u64,
         address: &'a str,
-        /// Whether this member leads and has noted it.
+        /// Whether this member leads and has noted the applicant.
         noted: bool,
-        /// Members that it was told of.
+        /// Number of members in the reply.
         members: usize,
     },
-    /// How many losses the group can bear has changed, as the leader sees it.
+    /// The redundancy of the group has changed, as the leader observes it.
     Redundancy {
         voters: usize,
         live_voters: usize,
         learners: usize,
-        /// Processes that have asked to join and are not members yet.
+        /// Processes that sent join requests and are not members yet.
         joining: usize,
         bearable_losses: usize,
-        /// No change of the membership goes on.
+        /// Whether no change of the membership is in progress.
         settled: bool,
-        /// Time without full redundancy until now, in milliseconds.
+        /// Time below full redundancy until now, in milliseconds.
         below_full_ms: u64,
     },
-    /// A router follows the feed.
+    /// A router subscribed to the feed.
     RouterFollows {
         router: &'a str,
         configuration: u64,
-        /// Whether it is of production's build.
+        /// Whether it runs the previous release.
         is_earlier: bool,
     },
     /// A router's feed has ended.
     RouterLost { router: &'a str },
-    /// A controller follows the feed of this one, which leads.
+    /// A controller subscribed to the feed of this one, which leads.
     ControllerFollows { member: u64 },
-    /// That feed has ended; routers that are not known another way are forgotten.
+    /// A controller's feed has ended; its routers that have no other path are removed.
     ControllerLost {
         member: u64,
         routers: usize,
         problem: Option<&'a str>,
     },
-    /// The leader's feed comes here from now on.
+    /// The leader's feed has begun.
     UpstreamBegan { term: u64 },
-    /// It comes no more.
+    /// The leader's feed has ended, or the connection to the leader failed.
     UpstreamEnded {
         leader: &'a str,
         problem: Option<&'a str>,
     },
-    /// Routers were told to follow another controller: there was no leader's feed here.
+    /// Sessions of routers were ended so that they subscribe to another controller, since this one
+    /// had no feed of a leader.
     RoutersLetGo {
         routers: usize,
-        /// Whether this controller hears no quorum; else an election takes too long.
+        /// Whether contact with a quorum was lost; otherwise an election took too long.
         lost_quorum: bool,
     },
-    /// Registrations taken here reach the leader from now on.
+    /// The relay of registrations to the leader has begun.
     RelayBegan { leader: &'a str },
-    /// They reach it no more.
+    /// The relay of registrations to the leader has ended.
     RelayEnded {
         leader: &'a str,
         problem: Option<&'a str>,
     },
-    /// An operator's configuration was judged and, if valid, proposed.
+    /// An operator's configuration was validated and, if valid, proposed.
     Configuration {
         number: Option<u64>,
         outcome: &'a str,
         problem: Option<&'a str>,
     },
-    /// The newest configuration is in force at all routers that follow.
+    /// The newest configuration is in force at all routers that subscribe.
     ConfigurationEverywhere {
         number: u64,
         routers: usize,
         after_ms: u64,
     },
-    /// What an instance, or another writer, says of itself is not whole.
+    /// A registration or departure of an instance, or of another sender, is incomplete or invalid.
     RegistrationRefused { instance: &'a str, problem: &'a str },
-    /// An instance said in an answer that it takes no more work.
+    /// An instance reported in a reply that it accepts no more work.
     LeavesByItsWord {
         instance: &'a str,
-        /// The router, or this controller, to which it said so in an answer.
+        /// The router, or this controller, that received the reply.
         told_by: &'a str,
     },
-    /// An instance names a limit to a router, another one than before, or none any more.
+    /// The rate limit that an instance reports has changed, begun or ended.
     InstanceLimits {
         instance: &'a str,
-        /// Requests in a thousand seconds, from all routers together.
+        /// Requests in 1,000 s, from all routers together.
         limit_per_1000_s: Option<u64>,
         told_by: &'a str,
         age_ms: u64,
     },
-    /// An instance asks in an answer to be left alone for so long.
+    /// An instance requested backoff in a reply.
     InstanceRests {
         instance: &'a str,
         status: u16,
         rest_ms: u64,
     },
-    /// An instance takes no more work, or ends.
+    /// An instance accepts no more work, or terminates.
     Leaves {
         instance: &'a str,
         ends: bool,
         committed: bool,
         problem: Option<&'a str>,
     },
-    /// Instances were taken for gone.
+    /// Instances are gone: they terminated, or did not register in time.
     InstancesGone { instances: &'a [String] },
-    /// What became of a content under which instances ended.
+    /// The state of a request content during which instances ended has changed.
     Quarantine {
         content: String,
         change: &'a str,
-        /// Instances that ended under it.
+        /// Number of instances that ended during it.
         ends: Option<usize>,
     },
-    /// The contents in quarantine were to be recorded durably.
+    /// The quarantined contents were recorded in the log, or this failed.
     QuarantineRecorded {
         contents: usize,
         problem: Option<&'a str>,
     },
-    /// An order was given.
+    /// An order was sent to an instance, or could not be sent.
     Order {
         action: &'a str,
         model: &'a str,
@@ -172,17 +173,17 @@
         rate_per_1000_s: u64,
         waited_for: bool,
         from_store: bool,
-        /// Loads from the weight store under way.
+        /// Loads from the weight store in progress.
         store_loads: usize,
         after_ms: u64,
     },
-    /// An instance was set aside for a model.
+    /// An instance was reserved for the load of a model.
     SetAside {
         model: &'a str,
         instance: &'a str,
         source: &'a str,
         ready_after_ms: u64,
-        /// What the place costs, in thousandths of a late request.
+        /// Cost of this load target, in thousandths of a late request.
         cost_per_1000: u64,
         waiting: u32,
         displaced: Option<&'a str>,
@@ -193,18 +194,18 @@
         instance: &'a str,
         source: &'a str,
         took_ms: u64,
-        /// Loads from the weight store at once meanwhile, in the mean, times ten.
+        /// Mean number of concurrent loads from the weight store during the load, times ten.
         store_loads_by_10: u64,
         store_limit: usize,
     },
 }
 
-/// A process that was asked to take this one into the group.
+/// A process that was sent a join request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(crate) struct AskedMember {
     /// Its wire address, `ip:port`.
     pub(crate) address: String,
-    /// What it answered.
+    /// The kind of its answer.
     pub(crate) answer: &'static str,
 }
 
@@ -221,7 +222,7 @@
     }
 }
 
-/// The record of what the placement engine tells.
+/// The record of an event of the placement engine.
 pub(crate) fn placement(event: &PlacementEvent) -> ControllerRecord<'_> {
     match event {
         PlacementEvent::SetAside(one) => ControllerRecord::SetAside {
--- a/crates/coordinator/src/registration_admission.rs
+++ b/crates/coordinator/src/registration_admission.rs
@@ -1,43 +1,47 @@
-//! Whether a controller takes a registration.
+//! Decides whether a controller accepts a registration. Pure.
 //!
-//! Invariant: a controller never sends instances to another one. It takes what it can
-//! pass on soon, and says at once what it can't; so a slow leader is not given the
-//! registrations of all instances on top, which would keep it slow.
+//! Invariant: a controller never redirects instances to a particular controller. It accepts
+//! registrations that it can relay soon, and rejects others at once. A slow leader therefore does
+//! not receive the registrations of all instances in addition, which would keep it overloaded.
 
 use courseshunt_types::Millis;
 
-/// A controller that hears a leader takes registrations for so long after it last reached
-/// it: they reach it with the next connection. An instance that is not heard for four of
-/// its intervals is taken for gone, so this and one interval must stay well below.
-pub const HELD: Millis = Millis(2_000);
+/// Time after the loss of its link to the leader for which a controller that is in contact with a
+/// leader still accepts registrations, which are relayed with the next link. An instance without
+/// a registration for four of its intervals counts as gone, so this time plus one interval must
+/// stay well below that.
+pub const RELAY_GRACE: Millis = Millis(2_000);
 
-/// What the decision rests on.
+/// Inputs of [`decide`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TakingView {
+pub struct AdmissionView {
     /// Whether this controller leads.
     pub leads: bool,
-    /// Whether it hears a leader. One that is cut off hears none, and instances that it
-    /// kept would be known nowhere: they find one that does at once.
-    pub hears_leader: bool,
-    /// Time since the leader was last reached; none while it is reached.
-    pub out_of_reach_for: Option<Millis>,
+    /// Whether it is in contact with a leader. A controller that is cut off is not, and the
+    /// registrations that it accepted would reach no other one. Its instances move to another
+    /// controller at once.
+    pub has_leader: bool,
+    /// Time since the link to the leader was lost; `None` while it is up.
+    pub leader_unreachable_for: Option<Millis>,
 }
 
-/// The decision.
+/// The decision on a registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taking {
-    /// It is taken: here, or for the leader.
-    Take,
-    /// Another controller may reach the leader.
+pub enum Admission {
+    /// Accept it: apply it here, or relay it to the leader.
+    Accept,
+    /// Reject it; another controller may have a link to the leader.
     TryAnother,
 }
 
-/// Decides.
+/// Decides whether a registration is accepted.
 #[must_use]
-pub fn decide(view: TakingView) -> Taking {
-    let reached = view.out_of_reach_for.is_none_or(|away| away <= HELD);
-    match view.leads || view.hears_leader && reached {
-        true => Taking::Take,
-        false => Taking::TryAnother,
+pub fn decide(view: AdmissionView) -> Admission {
+    let reached = view
+        .leader_unreachable_for
+        .is_none_or(|elapsed| elapsed <= RELAY_GRACE);
+    match view.leads || view.has_leader && reached {
+        true => Admission::Accept,
+        false => Admission::TryAnother,
     }
 }
--- a/crates/coordinator/src/relay.rs
+++ b/crates/coordinator/src/relay.rs
@@ -1,8 +1,8 @@
-//! Passes registrations that this controller took on to the leader.
+//! Relays registrations that this controller accepted to the leader.
 //!
-//! Invariant: an instance is told that its registration was taken only while
-//! the leader answers here, or did so lately (see [`crate::registration_admission`]); what was taken
-//! and lost with a leader or a connection is sent whole to the next one.
+//! Invariant: a registration is acknowledged only while the leader answers this controller, or
+//! did so recently (see [`crate::registration_admission`]). Registrations that are lost with a
+//! leader or a connection are sent in full to the next one.
 
 use crate::Shared;
 use crate::leader_link::{self, timed_out};
@@ -16,12 +16,12 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Longest wait for the leader's answer to a batch.
-const ANSWER_LIMIT: Duration = Duration::from_millis(600);
-/// Registrations that repeat the one before are gathered for so long.
-const GATHERING: Duration = Duration::from_millis(100);
+/// Time limit for sending a batch and receiving the leader's reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
+/// Registrations that repeat the previous one are batched for this time.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// See the module.
+/// The outbox of registrations for the leader, and the state of the link to it.
 #[derive(Debug, Default)]
 pub(crate) struct Relay {
     state: Mutex<State>,
@@ -32,7 +32,7 @@
 struct State {
     outbox: RegistrationOutbox,
     linked: bool,
-    /// When the leader was last reached; the start of the process before that.
+    /// When the last link to the leader ended; the start of the process if there was none.
     reached_at: Timestamp,
 }
 
@@ -41,8 +41,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps a registration for the leader, which is sent it now or once it is reached.
-    pub(crate) fn offer(&self, registration: Registration, now: Timestamp) {
+    /// Queues a registration for the leader; it is sent at once if the link is up, otherwise with
+    /// the next link.
+    pub(crate) fn enqueue(&self, registration: Registration, now: Timestamp) {
         let mut state = self.lock();
         state.outbox.offer(registration, now);
         if !state.linked {
@@ -53,8 +54,8 @@
         self.wake.notify_one();
     }
 
-    /// Time since the leader was last reached; none while it is reached.
-    pub(crate) fn out_of_reach_for(&self, now: Timestamp) -> Option<Millis> {
+    /// Time since the link to the leader ended; `None` while it is up.
+    pub(crate) fn leader_unreachable_for(&self, now: Timestamp) -> Option<Millis> {
         let state = self.lock();
         (!state.linked).then(|| now.since(state.reached_at))
     }
@@ -75,22 +76,22 @@
         std::mem::take(&mut state.linked)
     }
 
-    /// Waits until there is something to send; news and full batches go at once.
-    async fn gather(&self) {
+    /// Waits until a batch is to be sent; changes and full batches are sent without delay.
+    async fn wait_for_batch(&self) {
         while self.lock().outbox.is_empty() {
             self.wake.notified().await;
         }
-        let _ = tokio::time::timeout(GATHERING, self.due()).await;
+        let _ = tokio::time::timeout(BATCH_DELAY, self.wait_until_due()).await;
     }
 
-    async fn due(&self) {
+    async fn wait_until_due(&self) {
         while !self.lock().outbox.is_due() {
             self.wake.notified().await;
         }
     }
 }
 
-/// Runs until the process stops.
+/// Relays registrations to each leader in turn until the process stops.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let ended = |address: SocketAddr, problem: Option<WireError>| {
         if shared.relay.unlink(shared.clock.now()) {
@@ -100,10 +101,10 @@
             });
         }
     };
-    leader_link::keep(&shared, |address| relay_to(address, &shared), ended).await;
+    leader_link::run_with_leader(&shared, |address| relay_to(address, &shared), ended).await;
 }
 
-/// Sends batches, one at a time, until something fails or the other doesn't lead.
+/// Sends batches, one at a time, until an error occurs or the peer does not lead.
 async fn relay_to(address: SocketAddr, shared: &Shared) -> Result<(), WireError> {
     let Connection {
         mut sender,
@@ -115,15 +116,15 @@
         leader: &address.to_string(),
     });
     loop {
-        shared.relay.gather().await;
+        shared.relay.wait_for_batch().await;
         let batch = shared.relay.lock().outbox.take(shared.clock.now());
         let exchange = async {
             sender.send(&Message::Registrations(batch)).await?;
-            receive_answer(&mut receiver).await
+            receive_reply(&mut receiver).await
         };
-        let answer = tokio::time::timeout(ANSWER_LIMIT, exchange).await;
-        let answer = answer.unwrap_or(Err(timed_out("registrations", address)))?;
-        let Some(lacked) = answer else {
+        let reply = tokio::time::timeout(REPLY_TIMEOUT, exchange).await;
+        let reply = reply.unwrap_or(Err(timed_out("registrations", address)))?;
+        let Some(lacked) = reply else {
             return Ok(());
         };
         let mut state = shared.relay.lock();
@@ -133,9 +134,9 @@
     }
 }
 
-/// Instances whose earlier registration the leader lacks; `None` when the other
-/// doesn't lead, or hangs up.
-async fn receive_answer(receiver: &mut Receiver) -> Result<Option<Vec<RunnerId>>, WireError> {
+/// Receives the reply to a batch: the instances whose earlier registration the leader lacks.
+/// `None` when the peer does not lead, or closes the connection.
+async fn receive_reply(receiver: &mut Receiver) -> Result<Option<Vec<RunnerId>>, WireError> {
     while let Some(message) = receiver.receive().await? {
         match message {
             Message::PeerAlive => {}
@@ -149,8 +150,8 @@
     Ok(None)
 }
 
-/// Takes another controller's batch over, if this one leads.
-pub(crate) fn take(
+/// Applies another controller's batch if this one leads, and returns the reply.
+pub(crate) fn handle_batch(
     batch: Vec<RelayedRegistration>,
     from: ControllerId,
     shared: &Shared,
@@ -160,20 +161,23 @@
     if leads {
         let now = shared.clock.now();
         let mut engine = shared.engine();
-        let mut news = false;
+        let mut changed = false;
         for one in batch {
             match engine.register_relayed(one, now) {
-                Ok(is_news) => news |= is_news,
+                Ok(is_change) => changed |= is_change,
                 Err(id) => lacked.push(id),
             }
         }
         drop(engine);
-        if news {
+        if changed {
             shared.wake.notify_one();
         }
     }
     if !lacked.is_empty() {
-        log::debug!("relay: {} registrations of {from} are lacked", lacked.len());
+        log::debug!(
+            "relay: {} registrations of controller {from} have to be sent in full",
+            lacked.len()
+        );
     }
     Message::RegistrationsTaken { leads, lacked }
 }
--- a/crates/coordinator/src/reports.rs
+++ b/crates/coordinator/src/reports.rs
@@ -1,12 +1,14 @@
-//! What routers report: the leader takes it, any other controller passes it on to the
+//! Handles reports of routers: the leader applies them, any other controller relays them to the
 //! leader.
+//!
+//! Invariant: a report takes effect only if it came by the router's newest connection.
 
 use crate::Shared;
-use crate::leader_loop::CONTACT_LIMIT;
+use crate::leader_loop::QUORUM_CONTACT_LIMIT;
 use crate::limits;
 use crate::quarantine;
 use crate::records::ControllerRecord;
-use crate::router_registry::Way;
+use crate::router_registry::FeedPath;
 use courseshunt_records::emit;
 use courseshunt_services::{
     FeedMessage, InstanceUsage, ModelDemand, QuotaAnswer, QuotaAsk, QuotaVerdict, RelayedReport,
@@ -14,20 +16,25 @@
 };
 use courseshunt_types::RunnerId;
 
-/// Takes what a router that follows this controller tells: here, or for the leader.
-pub(crate) fn take_local(report: RelayedReport, shared: &Shared) {
+/// Handles a report of a router that subscribes here: applies it if this member leads, otherwise
+/// queues it for the leader.
+pub(crate) fn handle_local(report: RelayedReport, shared: &Shared) {
     if !*shared.leading.borrow() {
-        shared.upstream.offer(report);
+        shared.upstream.enqueue(report);
         return;
     }
     let (router, session) = (report.router.clone(), report.session);
-    if let Some(answer) = take(report, Way::Here, shared) {
+    if let Some(answer) = handle(report, FeedPath::Direct, shared) {
         shared.sessions.send_to_router(&router, session, answer);
     }
 }
 
-/// Takes what a router tells, at the leader; returns what to answer it.
-pub(crate) fn take(report: RelayedReport, way: Way, shared: &Shared) -> Option<FeedMessage> {
+/// Applies a router's report at the leader; returns the answer to it, if there is one.
+pub(crate) fn handle(
+    report: RelayedReport,
+    path: FeedPath,
+    shared: &Shared,
+) -> Option<FeedMessage> {
     let RelayedReport {
         router,
         session,
@@ -37,29 +44,29 @@
         RouterNews::Follows { configuration } => {
             shared
                 .routers()
-                .follows(&router, session, way, configuration);
+                .subscribe(&router, session, path, configuration);
             shared.quotas().router_heard(&router);
             None
         }
         RouterNews::Lost => {
-            if shared.routers().lost(&router, session) {
-                forget(&router, shared);
+            if shared.routers().disconnect(&router, session) {
+                forget_router(&router, shared);
             }
             None
         }
-        // The router follows by another connection since.
-        RouterNews::Reports(_) if !shared.routers().is_present(&router, session) => None,
-        RouterNews::Reports(report) => take_report(&router, report, shared),
+        // The router has subscribed by another connection since.
+        RouterNews::Reports(_) if !shared.routers().is_current(&router, session) => None,
+        RouterNews::Reports(report) => handle_report(&router, report, shared),
     }
 }
 
-/// Forgets what a router used: it follows no more.
-pub(crate) fn forget(router: &str, shared: &Shared) {
+/// Removes the use of a router that no longer subscribes.
+pub(crate) fn forget_router(router: &str, shared: &Shared) {
     shared.engine().forget_router(router);
     shared.quotas().router_lost(router, shared.clock.now());
 }
 
-fn take_report(router: &str, report: ReportMessage, shared: &Shared) -> Option<FeedMessage> {
+fn handle_report(router: &str, report: ReportMessage, shared: &Shared) -> Option<FeedMessage> {
     match report {
         ReportMessage::Usage {
             configuration,
@@ -68,9 +75,9 @@
             unreachable,
             leaving,
         } => {
-            confirm(router, configuration, shared);
-            take_usage(router, instances, &demand, &unreachable, shared);
-            take_leaving(router, &leaving, shared);
+            confirm_configuration(router, configuration, shared);
+            handle_usage(router, instances, &demand, &unreachable, shared);
+            handle_leaving(router, &leaving, shared);
         }
         ReportMessage::TenantUse { epoch, uses } => {
             let now = shared.clock.now();
@@ -78,33 +85,35 @@
                 shared.wake.notify_one();
             }
         }
-        ReportMessage::AskQuotas(questions) => {
-            return Some(answer_quotas(router, &questions, shared));
+        ReportMessage::AskQuotas(requests) => {
+            return Some(answer_quotas(router, &requests, shared));
         }
         ReportMessage::Limits { words, asks } => {
-            return limits::take(router, &words, &asks, shared);
+            return limits::handle_report(router, &words, &asks, shared);
+        }
+        ReportMessage::Ends { ends, answered } => {
+            quarantine::handle_report(&ends, answered, shared)
         }
-        ReportMessage::Ends { ends, answered } => quarantine::take(&ends, answered, shared),
         ReportMessage::Subscribe { .. } | ReportMessage::Compare(_) => {}
     }
     None
 }
 
-/// Notes which configuration is in force at a router.
-fn confirm(router: &str, configuration: u64, shared: &Shared) {
+/// Notes the configuration that is in force at a router, and records the end of a rollout.
+fn confirm_configuration(router: &str, configuration: u64, shared: &Shared) {
     let now = shared.clock.now();
-    let spread = shared.routers().confirm(router, configuration, now);
-    if let Some(spread) = spread {
-        shared.metrics.spread(spread.after);
+    let rollout = shared.routers().confirm(router, configuration, now);
+    if let Some(rollout) = rollout {
+        shared.metrics.rollout(rollout.after);
         emit(&ControllerRecord::ConfigurationEverywhere {
-            number: spread.number,
-            routers: spread.routers,
-            after_ms: spread.after.0,
+            number: rollout.number,
+            routers: rollout.routers,
+            after_ms: rollout.after.0,
         });
     }
 }
 
-fn take_usage(
+fn handle_usage(
     router: &str,
     instances: Vec<InstanceUsage>,
     demand: &[ModelDemand],
@@ -121,33 +130,34 @@
     }
 }
 
-/// Takes note of instances that said to a router, or to this controller, that they leave.
-pub(crate) fn take_leaving(told_by: &str, leaving: &[RunnerId], shared: &Shared) {
+/// Notes instances that reported in a reply to a router, or to this controller, that they leave.
+pub(crate) fn handle_leaving(reporter: &str, leaving: &[RunnerId], shared: &Shared) {
     for instance in leaving {
         if shared.engine().leaves_by_its_word(instance) {
             emit(&ControllerRecord::LeavesByItsWord {
                 instance: instance.as_str(),
-                told_by,
+                told_by: reporter,
             });
             shared.wake.notify_one();
         }
     }
 }
 
-/// Whether this leader was in contact with a quorum a moment ago: no other one grants anything.
-pub(crate) fn in_contact(shared: &Shared) -> bool {
+/// Whether this leader was recently in contact with a quorum, so that no other one grants
+/// permits.
+pub(crate) fn has_quorum_contact(shared: &Shared) -> bool {
     let age = shared.replica.confirmation_age();
-    age.is_some_and(|age| age < CONTACT_LIMIT)
+    age.is_some_and(|age| age < QUORUM_CONTACT_LIMIT)
 }
 
-/// Answers a router's questions on tenants' limits.
-fn answer_quotas(router: &str, questions: &[QuotaAsk], shared: &Shared) -> FeedMessage {
+/// Answers a router's requests for units of tenants' quotas.
+fn answer_quotas(router: &str, requests: &[QuotaAsk], shared: &Shared) -> FeedMessage {
     let now = shared.clock.now();
-    let in_contact = in_contact(shared);
+    let has_quorum_contact = has_quorum_contact(shared);
     let mut quotas = shared.quotas();
-    let answers = questions.iter().map(|one| QuotaAnswer {
+    let answers = requests.iter().map(|one| QuotaAnswer {
         number: one.number,
-        verdict: match in_contact {
+        verdict: match has_quorum_contact {
             true => quotas.ask(router, one, now),
             false => QuotaVerdict::Unknown,
         },
--- a/crates/coordinator/src/router_registry.rs
+++ b/crates/coordinator/src/router_registry.rs
@@ -1,149 +1,150 @@
-//! The routers of the whole fleet as the leader knows them: which connection of which
-//! controller each follows by, and which configuration is in force there. Pure.
+//! The leader's registry of all routers of the fleet: the connection by which each router
+//! subscribes, through which controller, and the configuration that is in force there. Pure.
 //!
-//! Invariant: what a connection that has been replaced says or fails to say changes
-//! nothing. Cost of a report: one look-up, however many routers there are.
+//! Invariant: reports of a replaced connection, and its end, have no effect. Cost of a report:
+//! one look-up, whatever the number of routers.
 
 use courseshunt_types::{Millis, Timestamp};
 use std::collections::BTreeMap;
 
-/// How a router's reports come to the leader.
+/// The path by which a router's reports reach the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
-    /// It follows the leader itself.
-    Here,
-    /// Through another controller, by that controller's connection of this number.
-    Through(u64),
+pub enum FeedPath {
+    /// The router subscribes to the leader itself.
+    Direct,
+    /// Another controller relays them, by its connection of this number.
+    Relayed(u64),
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Following {
+struct Subscription {
     /// Number of the router's connection.
     session: u64,
-    way: Way,
-    /// Configuration in force there.
+    path: FeedPath,
+    /// Number of the configuration that is in force at the router.
     in_force: u64,
 }
 
-/// A configuration on its way to the routers.
+/// The rollout of a configuration that is not yet in force at all routers.
 #[derive(Debug, Clone, Copy)]
-struct Spreading {
+struct PendingRollout {
     number: u64,
     since: Timestamp,
 }
 
-/// A configuration that is in force at all routers.
+/// A completed rollout: the configuration is in force at all routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Spread {
-    /// Its number.
+pub struct Rollout {
+    /// Number of the configuration.
     pub number: u64,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Time since the leader knew that it is committed.
+    /// Time since the leader applied the committed configuration.
     pub after: Millis,
 }
 
-/// See the module.
+/// The routers that subscribe anywhere in the group, and the present rollout.
 #[derive(Debug, Default)]
-pub struct RouterBook {
-    routers: BTreeMap<String, Following>,
-    spreading: Option<Spreading>,
-    /// Routers where an older configuration than that is in force.
-    behind: usize,
+pub struct RouterRegistry {
+    routers: BTreeMap<String, Subscription>,
+    pending: Option<PendingRollout>,
+    /// Number of stale routers: an older configuration than that of `pending` is in force there.
+    stale: usize,
 }
 
-impl RouterBook {
-    /// Routers that follow.
+impl RouterRegistry {
+    /// Number of routers that subscribe.
     #[must_use]
     pub fn count(&self) -> usize {
         self.routers.len()
     }
 
-    /// Notes that a router follows, by its newest connection.
-    pub fn follows(&mut self, router: &str, session: u64, way: Way, in_force: u64) {
-        let following = Following {
+    /// Notes that a router subscribes by a new connection, which replaces any earlier one.
+    pub fn subscribe(&mut self, router: &str, session: u64, path: FeedPath, in_force: u64) {
+        let subscription = Subscription {
             session,
-            way,
+            path,
             in_force,
         };
-        let before = self.routers.insert(router.to_owned(), following);
-        if before.is_some_and(|before| self.is_behind(before.in_force)) {
-            self.behind -= 1;
+        let before = self.routers.insert(router.to_owned(), subscription);
+        if before.is_some_and(|before| self.is_stale(before.in_force)) {
+            self.stale -= 1;
         }
-        if self.is_behind(in_force) {
-            self.behind += 1;
+        if self.is_stale(in_force) {
+            self.stale += 1;
         }
     }
 
-    /// Notes that a connection of a router has ended; returns whether it followed by that.
-    pub fn lost(&mut self, router: &str, session: u64) -> bool {
+    /// Notes that a connection of a router has ended; returns whether it was the router's present
+    /// one.
+    pub fn disconnect(&mut self, router: &str, session: u64) -> bool {
         let known = self.routers.get(router);
         let ended = known.is_some_and(|known| known.session == session);
         if ended {
-            self.forget(router);
+            self.remove(router);
         }
         ended
     }
 
-    /// Notes that a controller's connection has ended; returns the routers that followed
-    /// through it and have not come another way since.
-    pub fn relay_lost(&mut self, connection: u64) -> Vec<String> {
-        let through = self.routers.iter();
-        let through = through.filter(|(_, known)| known.way == Way::Through(connection));
-        let lost: Vec<String> = through.map(|(router, _)| router.clone()).collect();
+    /// Notes that a controller's connection has ended; returns the routers that it relayed and
+    /// that have not subscribed by another path since.
+    pub fn disconnect_relay(&mut self, connection: u64) -> Vec<String> {
+        let relayed = self.routers.iter();
+        let relayed = relayed.filter(|(_, known)| known.path == FeedPath::Relayed(connection));
+        let lost: Vec<String> = relayed.map(|(router, _)| router.clone()).collect();
         for router in &lost {
-            self.forget(router);
+            self.remove(router);
         }
         lost
     }
 
-    /// Whether a report comes by the connection that the router follows by.
+    /// Whether this is the connection by which the router subscribes at present.
     #[must_use]
-    pub fn is_present(&self, router: &str, session: u64) -> bool {
+    pub fn is_current(&self, router: &str, session: u64) -> bool {
         let known = self.routers.get(router);
         known.is_some_and(|known| known.session == session)
     }
 
-    /// Notes that a configuration is on its way to all.
-    pub fn spread(&mut self, number: u64, now: Timestamp) {
-        self.spreading = Some(Spreading { number, since: now });
+    /// Begins the rollout of a configuration.
+    pub fn begin_rollout(&mut self, number: u64, now: Timestamp) {
+        self.pending = Some(PendingRollout { number, since: now });
         let routers = self.routers.values();
-        self.behind = routers.filter(|known| known.in_force < number).count();
+        self.stale = routers.filter(|known| known.in_force < number).count();
     }
 
-    /// Notes which configuration is in force at a router; tells when the newest one is in
-    /// force at all, once.
-    pub fn confirm(&mut self, router: &str, in_force: u64, now: Timestamp) -> Option<Spread> {
+    /// Notes the configuration that is in force at a router. Returns the rollout once, when it is
+    /// in force at all routers.
+    pub fn confirm(&mut self, router: &str, in_force: u64, now: Timestamp) -> Option<Rollout> {
         let known = self.routers.get_mut(router)?;
         let before = std::mem::replace(&mut known.in_force, in_force);
-        if self.is_behind(before) {
-            self.behind -= 1;
+        if self.is_stale(before) {
+            self.stale -= 1;
         }
-        if self.is_behind(in_force) {
-            self.behind += 1;
+        if self.is_stale(in_force) {
+            self.stale += 1;
         }
-        let Spreading { number, since } = self.spreading.filter(|_| self.behind == 0)?;
-        self.spreading = None;
-        Some(Spread {
+        let PendingRollout { number, since } = self.pending.filter(|_| self.stale == 0)?;
+        self.pending = None;
+        Some(Rollout {
             number,
             routers: self.routers.len(),
             after: now.since(since),
         })
     }
 
-    /// Forgets everything: another member leads.
+    /// Removes everything, since another member leads.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    fn forget(&mut self, router: &str) {
+    fn remove(&mut self, router: &str) {
         let known = self.routers.remove(router);
-        if known.is_some_and(|known| self.is_behind(known.in_force)) {
-            self.behind -= 1;
+        if known.is_some_and(|known| self.is_stale(known.in_force)) {
+            self.stale -= 1;
         }
     }
 
-    fn is_behind(&self, in_force: u64) -> bool {
-        self.spreading.is_some_and(|one| in_force < one.number)
+    fn is_stale(&self, in_force: u64) -> bool {
+        self.pending.is_some_and(|one| in_force < one.number)
     }
 }
