--- a/crates/coordinator/src/sessions/mod.rs
+++ b/crates/coordinator/src/sessions/mod.rs
@@ -1,9 +1,9 @@
-//! What follows this controller's feed, routers and, while it leads, other controllers;
-//! and what each of them has been sent.
+//! The subscribers of this controller's feed: routers and, while it leads, other controllers;
+//! and the state that they have been sent.
 //!
-//! Invariant: a follower holds what [`FedInstances`] holds here, or has it in its queue. A
-//! message for all is encoded once; a follower whose queue is full is cut off, and asks
-//! again.
+//! Invariant: a subscriber holds what [`FedInstances`] holds here, or has it in its queue. A
+//! message for all subscribers is encoded once. A subscriber whose queue is full is
+//! disconnected, and subscribes again.
 
 mod previous_release;
 
@@ -17,67 +17,68 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc;
 
-/// Messages that wait for one follower; one that falls behind is cut off and asks again.
+/// Capacity of the queue to one subscriber, in messages; a slower subscriber is disconnected and
+/// subscribes again.
 pub(crate) const SESSION_QUEUE: usize = 512;
 
-/// A router that follows this controller.
+/// Session of a router that subscribes to this controller's feed.
 #[derive(Debug)]
 pub(crate) struct Session {
-    /// Number of its connection.
+    /// Number of the router's connection.
     pub(crate) number: u64,
     pub(crate) queue: mpsc::Sender<Arc<Frame>>,
-    /// Configuration that the router has or is being sent.
+    /// Number of the configuration that the router holds or has in its queue.
     pub(crate) configuration: u64,
-    /// Whether the router is of production's build: it knows no parts and no digests, and is
-    /// told by the list of all instances which are gone.
-    pub(crate) is_earlier: bool,
+    /// Whether the router runs the previous release. It supports neither buckets nor digests, and
+    /// derives which instances are gone from the list of all live ones.
+    pub(crate) is_previous_release: bool,
 }
 
-/// Followers, and what they are sent.
+/// The subscribers and their queues.
 #[derive(Debug, Default)]
-struct Followers {
+struct Subscribers {
     routers: BTreeMap<String, Session>,
-    /// Controllers by the numbers of their connections.
+    /// Queues of controllers by the numbers of their connections.
     controllers: BTreeMap<u64, mpsc::Sender<Arc<Frame>>>,
 }
 
-/// What a new follower is sent.
+/// State that a new subscriber is sent.
 #[derive(Debug, Default)]
-struct Fed {
+struct FeedState {
     instances: FedInstances,
-    /// Parts of the instances as they were encoded since their last change.
-    parts: BTreeMap<usize, Arc<Frame>>,
+    /// Encoded buckets of the instances; a bucket is removed when one of its instances changes.
+    buckets: BTreeMap<usize, Arc<Frame>>,
     leadership: Option<Leadership>,
-    /// The last words on these, of the present leader.
+    /// The present leader's latest messages of these kinds, encoded.
     quarantine: Option<Arc<Frame>>,
     quotas: Option<Arc<Frame>>,
     limits: Option<Arc<Frame>>,
     usage: Option<Arc<Frame>>,
-    /// Instances that name a limit. Routers of production's build heed none, so these are kept
-    /// from them.
+    /// Instances that report a rate limit. Routers of the previous release ignore such limits, so
+    /// these instances are hidden from them.
     limited: BTreeSet<RunnerId>,
 }
 
-/// Whose feed it is.
+/// The leadership that a feed comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Leadership {
     pub(crate) term: u64,
-    /// Whether the leader has heard from all instances that are there.
+    /// Whether the leader has received registrations of all instances that are running.
     pub(crate) settled: bool,
 }
 
-/// See the module.
+/// Subscribers of this controller's feed, and the state that they are sent.
 #[derive(Debug, Default)]
 pub(crate) struct Sessions {
-    followers: Mutex<Followers>,
-    fed: Mutex<Fed>,
+    subscribers: Mutex<Subscribers>,
+    feed_state: Mutex<FeedState>,
     configuration: Mutex<ConfigurationFeed>,
 }
 
 impl Session {
-    /// Sends the newest configuration if the router lacks it; returns whether the
-    /// session goes on.
-    fn configure(&mut self, feed: &mut ConfigurationFeed) -> bool {
+    /// Sends the newest configuration if the router lacks it; returns `false` if the queue is
+    /// full, which ends the session.
+    fn send_configuration(&mut self, feed: &mut ConfigurationFeed) -> bool {
         let Some(frame) = feed.frame_for(self.configuration) else {
             return true;
         };
@@ -87,13 +88,15 @@
 }
 
 impl Sessions {
-    fn followers(&self) -> MutexGuard<'_, Followers> {
-        let followers = self.followers.lock();
-        followers.unwrap_or_else(PoisonError::into_inner)
+    fn subscribers(&self) -> MutexGuard<'_, Subscribers> {
+        let subscribers = self.subscribers.lock();
+        subscribers.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn fed(&self) -> MutexGuard<'_, Fed> {
-        self.fed.lock().unwrap_or_else(PoisonError::into_inner)
+    fn feed_state(&self) -> MutexGuard<'_, FeedState> {
+        self.feed_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn configuration(&self) -> MutexGuard<'_, ConfigurationFeed> {
@@ -101,26 +104,26 @@
         configuration.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Routers that follow this controller.
+    /// Number of routers that subscribe here.
     pub(crate) fn router_count(&self) -> usize {
-        self.followers().routers.len()
+        self.subscribers().routers.len()
     }
 
-    /// Routers and controllers that follow this one.
+    /// Number of routers and controllers that subscribe here.
     pub(crate) fn count(&self) -> usize {
-        let followers = self.followers();
-        followers.routers.len() + followers.controllers.len()
+        let subscribers = self.subscribers();
+        subscribers.routers.len() + subscribers.controllers.len()
     }
 
-    /// Routers that follow this controller, with the numbers of their connections.
+    /// Routers that subscribe here, with the numbers of their connections.
     pub(crate) fn routers(&self) -> Vec<(String, u64)> {
-        let followers = self.followers();
-        let routers = followers.routers.iter();
+        let subscribers = self.subscribers();
+        let routers = subscribers.routers.iter();
         let routers = routers.map(|(name, one)| (name.clone(), one.number));
         routers.collect()
     }
 
-    /// Opens a router's session: sends what it lacks, and from then on what changes.
+    /// Opens a router's session: sends the state that it lacks, and then every change.
     pub(crate) fn open_router(
         &self,
         name: &str,
@@ -128,25 +131,26 @@
         known: &InstanceDigests,
         gone: Vec<RunnerId>,
     ) {
-        for frame in self.fed().opening(known, gone) {
+        for frame in self.feed_state().initial_frames(known, gone) {
             let _ = session.queue.try_send(frame);
         }
-        if session.is_earlier
-            && let Some(frame) = self.live().and_then(encode)
+        if session.is_previous_release
+            && let Some(frame) = self.live_instances().and_then(encode)
         {
             let _ = session.queue.try_send(frame);
         }
-        if session.is_earlier
-            && let Some(frame) = self.kept_back(|_| true)
+        if session.is_previous_release
+            && let Some(frame) = self.hidden_instances_frame(|_| true)
         {
             let _ = session.queue.try_send(frame);
         }
-        if session.configure(&mut self.configuration()) {
-            self.followers().routers.insert(name.to_owned(), session);
+        if session.send_configuration(&mut self.configuration()) {
+            self.subscribers().routers.insert(name.to_owned(), session);
         }
     }
 
-    /// Opens a controller's session likewise; it has the configuration from the log.
+    /// Opens a controller's session in the same way, without the configuration, which it has
+    /// from its own replica of the log.
     pub(crate) fn open_controller(
         &self,
         connection: u64,
@@ -154,163 +158,174 @@
         known: &InstanceDigests,
         gone: Vec<RunnerId>,
     ) {
-        for frame in self.fed().opening(known, gone) {
+        for frame in self.feed_state().initial_frames(known, gone) {
             let _ = queue.try_send(frame);
         }
-        self.followers().controllers.insert(connection, queue);
+        self.subscribers().controllers.insert(connection, queue);
     }
 
-    /// Ends a router's session, unless it has a newer one; returns whether it ended.
+    /// Ends a router's session, unless a newer connection has replaced it; returns whether it
+    /// ended.
     pub(crate) fn close_router(&self, name: &str, number: u64) -> bool {
-        let mut followers = self.followers();
-        let known = followers.routers.get(name);
+        let mut subscribers = self.subscribers();
+        let known = subscribers.routers.get(name);
         let present = known.is_some_and(|one| one.number == number);
         if present {
-            followers.routers.remove(name);
+            subscribers.routers.remove(name);
         }
         present
     }
 
     pub(crate) fn close_controller(&self, connection: u64) {
-        self.followers().controllers.remove(&connection);
+        self.subscribers().controllers.remove(&connection);
     }
 
-    /// Sends to one router.
+    /// Sends a message to one router, if this is its present connection.
     pub(crate) fn send_to_router(&self, name: &str, number: u64, message: FeedMessage) {
-        let followers = self.followers();
-        let session = followers.routers.get(name);
+        let subscribers = self.subscribers();
+        let session = subscribers.routers.get(name);
         let session = session.filter(|session| session.number == number);
         if let Some(session) = session
             && let Some(frame) = encode(message)
         {
-            // A full queue ends the session with the next message for all.
+            // If the queue is full, the next message for all ends the session.
             let _ = session.queue.try_send(frame);
         }
     }
 
-    /// Begins the feed of a leader.
-    pub(crate) fn lead(&self, leadership: Leadership) {
-        let mut fed = self.fed();
-        fed.leadership = Some(leadership);
-        fed.parts.clear();
-        fed.quarantine = None;
-        fed.quotas = None;
-        fed.limits = None;
-        fed.usage = None;
-        drop(fed);
-        // The next leader tells which ones name a limit.
-        self.keep_back(BTreeSet::new());
+    /// Starts the feed of a new leadership, and drops the messages of the previous one.
+    pub(crate) fn begin_leadership(&self, leadership: Leadership) {
+        let mut feed_state = self.feed_state();
+        feed_state.leadership = Some(leadership);
+        feed_state.buckets.clear();
+        feed_state.quarantine = None;
+        feed_state.quotas = None;
+        feed_state.limits = None;
+        feed_state.usage = None;
+        drop(feed_state);
+        // The new leader sends the instances that report a limit.
+        self.set_limited_instances(BTreeSet::new());
         self.broadcast(leadership.message());
     }
 
-    /// Notes that the leader has heard from all instances that are there; what is gone is
-    /// told.
-    pub(crate) fn settle(&self, live: Vec<RunnerId>) {
-        let mut fed = self.fed();
-        if let Some(leadership) = &mut fed.leadership {
+    /// Notes that the leader has received registrations of all running instances (`live`), and
+    /// sends subscribers the instances that are gone.
+    pub(crate) fn mark_settled(&self, live: Vec<RunnerId>) {
+        let mut feed_state = self.feed_state();
+        if let Some(leadership) = &mut feed_state.leadership {
             leadership.settled = true;
         }
-        let gone = fed.instances.keep(&live);
-        fed.parts.clear();
-        drop(fed);
+        let gone = feed_state.instances.keep(&live);
+        feed_state.buckets.clear();
+        drop(feed_state);
         self.broadcast_to_controllers(FeedMessage::Live(live));
-        self.tell_routers(InstanceChanges {
+        self.broadcast_changes(InstanceChanges {
             changed: Vec::new(),
             gone,
         });
-        self.tell_digests();
+        self.send_digests();
     }
 
-    /// Lets routers compare, once all that is there is known: they may know instances from an
-    /// earlier leader that none has met since, and that nobody tells them are gone.
-    pub(crate) fn tell_digests(&self) {
+    /// Sends routers the digests of the instances, once the leadership is settled. Routers may
+    /// hold instances of an earlier leader that no later leader has seen, and whose removal is
+    /// therefore never sent.
+    pub(crate) fn send_digests(&self) {
         let digests = {
-            let fed = self.fed();
-            let settled = fed.leadership.is_some_and(|one| one.settled);
-            settled.then(|| fed.instances.digests().clone())
+            let feed_state = self.feed_state();
+            let settled = feed_state.leadership.is_some_and(|one| one.settled);
+            settled.then(|| feed_state.instances.digests().clone())
         };
         if let Some(digests) = digests {
             self.broadcast_to_routers(FeedMessage::Digests(digests));
         }
-        self.tell_live();
+        self.send_live_instances();
     }
 
-    /// Sends a router the parts in which what it knows differs.
-    pub(crate) fn compare(&self, router: &str, number: u64, known: &InstanceDigests) {
-        let frames = self.fed().differing(known);
-        let followers = self.followers();
-        let session = followers.routers.get(router);
+    /// Sends a router the buckets that differ from the ones it holds.
+    pub(crate) fn send_differing_buckets(
+        &self,
+        router: &str,
+        number: u64,
+        known: &InstanceDigests,
+    ) {
+        let frames = self.feed_state().differing_frames(known);
+        let subscribers = self.subscribers();
+        let session = subscribers.routers.get(router);
         let Some(session) = session.filter(|one| one.number == number) else {
             return;
         };
         for frame in frames {
-            // A full queue ends the session with the next message for all.
+            // If the queue is full, the next message for all ends the session.
             let _ = session.queue.try_send(frame);
         }
     }
 
-    /// Sends changed instances to all followers; what they know is left out.
+    /// Sends changed and gone instances to all subscribers; views that they hold already are left
+    /// out.
     pub(crate) fn send_instances(&self, changed: Vec<InstanceView>, gone: Vec<RunnerId>) {
-        let news = self.fed().change(changed, gone);
-        if news.is_empty() {
+        let changes = self.feed_state().change(changed, gone);
+        if changes.is_empty() {
             return;
         }
-        let told: BTreeSet<RunnerId> = news.changed.iter().map(|view| view.id.clone()).collect();
-        self.broadcast(instances(news));
-        if let Some(frame) = self.kept_back(|id| told.contains(id)) {
-            self.send_to_earlier(&frame);
+        let changed_ids: BTreeSet<RunnerId> =
+            changes.changed.iter().map(|view| view.id.clone()).collect();
+        self.broadcast(instances(changes));
+        if let Some(frame) = self.hidden_instances_frame(|id| changed_ids.contains(id)) {
+            self.send_to_previous_release(&frame);
         }
     }
 
-    /// Takes a part of the instances over, and tells routers what of it is new.
-    pub(crate) fn take_part(&self, part: u32, instances: Vec<InstanceView>, complete: bool) {
-        let part = usize::try_from(part).unwrap_or(usize::MAX);
-        let mut fed = self.fed();
-        let news = fed.instances.set_part(part, instances, complete);
-        fed.parts.remove(&part);
-        drop(fed);
-        self.tell_routers(news);
+    /// Applies a bucket of instances from the leader's feed, and sends routers what it changed.
+    pub(crate) fn set_bucket(&self, bucket: u32, instances: Vec<InstanceView>, complete: bool) {
+        let bucket = usize::try_from(bucket).unwrap_or(usize::MAX);
+        let mut feed_state = self.feed_state();
+        let changes = feed_state.instances.set_part(bucket, instances, complete);
+        feed_state.buckets.remove(&bucket);
+        drop(feed_state);
+        self.broadcast_changes(changes);
     }
 
-    fn tell_routers(&self, news: InstanceChanges) {
-        if !news.is_empty() {
-            self.broadcast_to_routers(instances(news));
+    fn broadcast_changes(&self, changes: InstanceChanges) {
+        if !changes.is_empty() {
+            self.broadcast_to_routers(instances(changes));
         }
     }
 
-    /// Digests of the instances that followers are told of.
+    /// Digests of the instances that subscribers are sent.
     pub(crate) fn digests(&self) -> InstanceDigests {
-        self.fed().instances.digests().clone()
+        self.feed_state().instances.digests().clone()
     }
 
-    /// Whether followers are told of an instance.
-    pub(crate) fn knows(&self, id: &RunnerId) -> bool {
-        self.fed().instances.contains(id)
+    /// Whether the feed contains an instance.
+    pub(crate) fn contains(&self, id: &RunnerId) -> bool {
+        self.feed_state().instances.contains(id)
     }
 
-    /// Sends to all followers.
+    /// Sends a message to all subscribers.
     pub(crate) fn broadcast(&self, message: FeedMessage) {
-        if let FeedMessage::Limits(words) = &message {
-            self.follow_limits(words);
+        if let FeedMessage::Limits(reports) = &message {
+            self.update_limited_instances(reports);
         }
-        let Some(frame) = self.keep(message) else {
+        let Some(frame) = self.encode_and_retain(message) else {
             return;
         };
-        let mut followers = self.followers();
+        let mut subscribers = self.subscribers();
         let send = |queue: &mpsc::Sender<Arc<Frame>>| queue.try_send(frame.clone()).is_ok();
-        followers.controllers.retain(|_, queue| send(queue));
-        followers.routers.retain(|_, session| send(&session.queue));
+        subscribers.controllers.retain(|_, queue| send(queue));
+        subscribers
+            .routers
+            .retain(|_, session| send(&session.queue));
     }
 
-    /// Sends to the routers that follow this controller.
+    /// Sends a message to the routers that subscribe here.
     pub(crate) fn broadcast_to_routers(&self, message: FeedMessage) {
-        if let FeedMessage::Limits(words) = &message {
-            self.follow_limits(words);
+        if let FeedMessage::Limits(reports) = &message {
+            self.update_limited_instances(reports);
         }
-        let Some(frame) = self.keep(message) else {
+        let Some(frame) = self.encode_and_retain(message) else {
             return;
         };
-        self.followers()
+        self.subscribers()
             .routers
             .retain(|_, session| session.queue.try_send(frame.clone()).is_ok());
     }
@@ -319,55 +334,55 @@
         let Some(frame) = encode(message) else {
             return;
         };
-        self.followers()
+        self.subscribers()
             .controllers
             .retain(|_, queue| queue.try_send(frame.clone()).is_ok());
     }
 
-    /// Encodes a message; a last word is kept for followers that come later.
-    fn keep(&self, message: FeedMessage) -> Option<Arc<Frame>> {
-        let mut fed = self.fed();
-        let kept = match &message {
-            FeedMessage::Quarantine { .. } => &mut fed.quarantine,
-            FeedMessage::Quotas { .. } => &mut fed.quotas,
-            FeedMessage::Limits(_) => &mut fed.limits,
-            FeedMessage::Usage { .. } => &mut fed.usage,
+    /// Encodes a message; the latest one of certain kinds is kept for later subscribers.
+    fn encode_and_retain(&self, message: FeedMessage) -> Option<Arc<Frame>> {
+        let mut feed_state = self.feed_state();
+        let retained = match &message {
+            FeedMessage::Quarantine { .. } => &mut feed_state.quarantine,
+            FeedMessage::Quotas { .. } => &mut feed_state.quotas,
+            FeedMessage::Limits(_) => &mut feed_state.limits,
+            FeedMessage::Usage { .. } => &mut feed_state.usage,
             _ => return encode(message),
         };
-        *kept = encode(message);
-        kept.clone()
+        *retained = encode(message);
+        retained.clone()
     }
 
-    /// Takes a configuration over, in the form that routers are sent, and sends it to those
-    /// that have an older one; returns whether it is newer.
-    pub(crate) fn configure(&self, number: u64, document: &[u8]) -> bool {
+    /// Publishes a configuration, in the form for routers, to those that hold an older one;
+    /// returns whether it is newer than the present one.
+    pub(crate) fn publish_configuration(&self, number: u64, document: &[u8]) -> bool {
         let mut feed = self.configuration();
         if !feed.publish(number, document) {
             return false;
         }
-        self.followers()
+        self.subscribers()
             .routers
-            .retain(|_, session| session.configure(&mut feed));
+            .retain(|_, session| session.send_configuration(&mut feed));
         true
     }
 
-    /// Number of the configuration that routers are sent.
+    /// Number of the newest published configuration.
     pub(crate) fn configuration_number(&self) -> u64 {
         self.configuration().number()
     }
 
-    /// Ends the sessions of controllers: this one leads no more.
+    /// Ends the sessions of controllers, since this one no longer leads.
     pub(crate) fn clear_controllers(&self) {
-        self.followers().controllers.clear();
+        self.subscribers().controllers.clear();
     }
 
-    /// Tells routers that there is no feed here any more, and where the leader is if that is
-    /// known; ends their sessions, and returns how many there were.
-    pub(crate) fn let_routers_go(&self, leader: Option<String>) -> usize {
-        let routers = std::mem::take(&mut self.followers().routers);
+    /// Notifies routers that this controller has no feed, with the leader's address if it is
+    /// known; ends their sessions, and returns their number.
+    pub(crate) fn dismiss_routers(&self, leader: Option<String>) -> usize {
+        let routers = std::mem::take(&mut self.subscribers().routers);
         if let Some(frame) = encode(FeedMessage::NoFeed { leader }) {
             for session in routers.values() {
-                // A full queue: the end of the connection tells it.
+                // If the queue is full, the router notices the end of the connection.
                 let _ = session.queue.try_send(frame.clone());
             }
         }
@@ -384,25 +399,25 @@
     }
 }
 
-impl Fed {
+impl FeedState {
     fn change(&mut self, changed: Vec<InstanceView>, gone: Vec<RunnerId>) -> InstanceChanges {
-        let news = self.instances.change(changed, gone);
-        let changed = news.changed.iter().map(|view| &view.id);
-        for id in changed.chain(&news.gone) {
-            self.parts.remove(&bucket_of(id));
+        let changes = self.instances.change(changed, gone);
+        let changed = changes.changed.iter().map(|view| &view.id);
+        for id in changed.chain(&changes.gone) {
+            self.buckets.remove(&bucket_of(id));
         }
-        news
+        changes
     }
 
-    /// What a follower lacks that knows instances with these digests. The word on
-    /// quarantined requests comes before all else: without it a router that has just
-    /// started would send such a request. The use of instances comes last, so that its
-    /// arrival tells that all is there.
-    fn opening(&mut self, known: &InstanceDigests, gone: Vec<RunnerId>) -> Vec<Arc<Frame>> {
+    /// The frames that a subscriber lacks which holds instances with these digests. The
+    /// quarantine precedes the instances: without it a router that has just started would send
+    /// quarantined requests. The use of instances comes last, so that its arrival marks the end
+    /// of the initial frames.
+    fn initial_frames(&mut self, known: &InstanceDigests, gone: Vec<RunnerId>) -> Vec<Arc<Frame>> {
         let leadership = self.leadership.map(Leadership::message).and_then(encode);
         let mut frames: Vec<Arc<Frame>> = leadership.into_iter().collect();
         frames.extend(self.quarantine.clone());
-        frames.extend(self.differing(known));
+        frames.extend(self.differing_frames(known));
         if !gone.is_empty() {
             frames.extend(encode(instances(InstanceChanges {
                 changed: Vec::new(),
@@ -415,40 +430,42 @@
         frames
     }
 
-    /// The parts in which a follower with these digests differs.
-    fn differing(&mut self, known: &InstanceDigests) -> Vec<Arc<Frame>> {
+    /// The buckets that differ from the ones of a subscriber with these digests.
+    fn differing_frames(&mut self, known: &InstanceDigests) -> Vec<Arc<Frame>> {
         let differing: Vec<usize> = self.instances.digests().differing(known).collect();
-        let parts = differing.into_iter();
-        parts.filter_map(|part| self.part(part)).collect()
+        let buckets = differing.into_iter();
+        buckets
+            .filter_map(|bucket| self.bucket_frame(bucket))
+            .collect()
     }
 
-    fn part(&mut self, part: usize) -> Option<Arc<Frame>> {
-        if let Some(frame) = self.parts.get(&part) {
+    fn bucket_frame(&mut self, bucket: usize) -> Option<Arc<Frame>> {
+        if let Some(frame) = self.buckets.get(&bucket) {
             return Some(frame.clone());
         }
         let frame = encode(FeedMessage::Part {
-            part: u32::try_from(part).unwrap_or(u32::MAX),
-            instances: self.instances.part(part).cloned().collect(),
+            part: u32::try_from(bucket).unwrap_or(u32::MAX),
+            instances: self.instances.part(bucket).cloned().collect(),
             complete: self.leadership.is_some_and(|one| one.settled),
         })?;
-        self.parts.insert(part, frame.clone());
+        self.buckets.insert(bucket, frame.clone());
         Some(frame)
     }
 }
 
-fn instances(news: InstanceChanges) -> FeedMessage {
+fn instances(changes: InstanceChanges) -> FeedMessage {
     FeedMessage::Instances {
-        changed: news.changed,
-        gone: news.gone,
+        changed: changes.changed,
+        gone: changes.gone,
     }
 }
 
-/// A message as it goes to any number of followers.
+/// Encodes a message once for any number of subscribers.
 pub(crate) fn encode(message: FeedMessage) -> Option<Arc<Frame>> {
     match Frame::of(&Message::ServiceFeed(message)) {
         Ok(frame) => Some(Arc::new(frame)),
         Err(problem) => {
-            log::error!("feed: a message can't be encoded: {problem}");
+            log::error!("feed: encode message: {problem}");
             None
         }
     }
--- a/crates/coordinator/src/sessions/previous_release.rs
+++ b/crates/coordinator/src/sessions/previous_release.rs
@@ -1,8 +1,8 @@
-//! What routers of production's build are told apart from the others: which instances are
-//! there, by a list, and of those that name a limit nothing.
+//! Messages to routers of the previous release that other routers do not receive: the list of
+//! live instances, and the removal of instances that report a rate limit.
 //!
-//! Invariant: such a router is told of an instance that names a limit as gone, for as long as it
-//! does.
+//! Invariant: for such a router an instance is gone as long as it reports a limit, since the
+//! previous release does not obey limits.
 
 use super::{Sessions, encode, instances};
 use courseshunt_services::fed_instances::InstanceChanges;
@@ -13,37 +13,41 @@
 use std::sync::Arc;
 
 impl Sessions {
-    /// Follows which instances name a limit.
-    pub(super) fn follow_limits(&self, words: &[LimitWord]) {
-        let limited = words.iter().filter(|word| word.rate.is_some());
-        self.keep_back(limited.map(|word| word.instance.clone()).collect());
+    /// Updates the set of instances that report a limit from a feed message.
+    pub(super) fn update_limited_instances(&self, reports: &[LimitWord]) {
+        let limited = reports.iter().filter(|report| report.rate.is_some());
+        self.set_limited_instances(limited.map(|report| report.instance.clone()).collect());
     }
 
-    /// Follows which instances name a limit: a router of production's build is told of one as
-    /// gone for as long as it does.
-    pub(super) fn keep_back(&self, limited: BTreeSet<RunnerId>) {
-        let mut fed = self.fed();
-        let before = std::mem::replace(&mut fed.limited, limited);
-        let free = before.difference(&fed.limited);
-        let free = free.filter_map(|id| fed.instances.get(id).cloned());
-        let news = InstanceChanges {
-            changed: free.collect(),
-            gone: fed.limited.difference(&before).cloned().collect(),
+    /// Sets the instances that report a limit. Routers of the previous release are sent new ones
+    /// as gone, and those whose limit has ended as present again.
+    pub(super) fn set_limited_instances(&self, limited: BTreeSet<RunnerId>) {
+        let mut feed_state = self.feed_state();
+        let previous = std::mem::replace(&mut feed_state.limited, limited);
+        let unlimited = previous.difference(&feed_state.limited);
+        let unlimited = unlimited.filter_map(|id| feed_state.instances.get(id).cloned());
+        let changes = InstanceChanges {
+            changed: unlimited.collect(),
+            gone: feed_state.limited.difference(&previous).cloned().collect(),
         };
-        drop(fed);
-        if !news.is_empty()
-            && let Some(frame) = encode(instances(news))
+        drop(feed_state);
+        if !changes.is_empty()
+            && let Some(frame) = encode(instances(changes))
         {
-            self.send_to_earlier(&frame);
+            self.send_to_previous_release(&frame);
         }
     }
 
-    /// Tells those of the instances that name a limit as gone.
-    pub(super) fn kept_back(&self, is_told: impl Fn(&RunnerId) -> bool) -> Option<Arc<Frame>> {
-        let fed = self.fed();
-        let gone = fed.limited.iter().filter(|id| is_told(id));
+    /// A message that removes the limited instances for which `is_included` holds; `None` if
+    /// there are none.
+    pub(super) fn hidden_instances_frame(
+        &self,
+        is_included: impl Fn(&RunnerId) -> bool,
+    ) -> Option<Arc<Frame>> {
+        let feed_state = self.feed_state();
+        let gone = feed_state.limited.iter().filter(|id| is_included(id));
         let gone: Vec<RunnerId> = gone.cloned().collect();
-        drop(fed);
+        drop(feed_state);
         if gone.is_empty() {
             return None;
         }
@@ -53,29 +57,29 @@
         }))
     }
 
-    /// Sends to routers of production's build.
-    pub(super) fn send_to_earlier(&self, frame: &Arc<Frame>) {
-        self.followers().routers.retain(|_, session| {
-            !session.is_earlier || session.queue.try_send(frame.clone()).is_ok()
+    /// Sends a frame to the routers of the previous release.
+    pub(super) fn send_to_previous_release(&self, frame: &Arc<Frame>) {
+        self.subscribers().routers.retain(|_, session| {
+            !session.is_previous_release || session.queue.try_send(frame.clone()).is_ok()
         });
     }
 
-    /// All instances that are there, once that is known.
-    pub(super) fn live(&self) -> Option<FeedMessage> {
-        let fed = self.fed();
-        let settled = fed.leadership.is_some_and(|one| one.settled);
+    /// The list of live instances without the limited ones, once the leadership is settled.
+    pub(super) fn live_instances(&self) -> Option<FeedMessage> {
+        let feed_state = self.feed_state();
+        let settled = feed_state.leadership.is_some_and(|one| one.settled);
         settled.then(|| {
-            let there = fed.instances.ids();
-            let there = there.filter(|id| !fed.limited.contains(id));
-            FeedMessage::Live(there.cloned().collect())
+            let present = feed_state.instances.ids();
+            let present = present.filter(|id| !feed_state.limited.contains(id));
+            FeedMessage::Live(present.cloned().collect())
         })
     }
 
-    /// Tells routers of production's build which instances are there.
-    pub(super) fn tell_live(&self) {
-        let Some(frame) = self.live().and_then(encode) else {
+    /// Sends the list of live instances to the routers of the previous release.
+    pub(super) fn send_live_instances(&self) {
+        let Some(frame) = self.live_instances().and_then(encode) else {
             return;
         };
-        self.send_to_earlier(&frame);
+        self.send_to_previous_release(&frame);
     }
 }
--- a/crates/coordinator/src/upstream.rs
+++ b/crates/coordinator/src/upstream.rs
@@ -1,10 +1,10 @@
-//! A controller that does not lead follows the leader's feed, passes it on to the routers
-//! that follow it, and passes their reports on to the leader.
+//! On a controller that does not lead: subscribes to the leader's feed, relays it to the routers
+//! that subscribe here, and relays their reports to the leader.
 //!
-//! Invariant: routers are told nothing as the leader's word that did not come from the
-//! leader; while there is none, they are kept with signs of life for a bounded time, so
-//! that an election costs them no connection. A controller that hears no quorum lets them go:
-//! others may have a leader, and take changes that its routers would miss.
+//! Invariant: routers receive as the leader's state only what came from the leader. While there
+//! is no leader, their sessions are kept open with keepalive messages for a bounded time, so that
+//! an election costs them no connection. A controller without contact to a quorum ends the
+//! sessions: other controllers may have a leader, and commit changes that its routers would miss.
 
 use crate::Shared;
 use crate::leader_link::{self, timed_out};
@@ -20,84 +20,90 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// A feed on which nothing came for so long is given up: routers notice a leader's silence
-/// about as soon, and look for another controller.
-const SILENCE_LIMIT: Duration = Duration::from_millis(900);
-/// Longest wait for the first message: a new leader looks first at what was committed.
-const FIRST_LIMIT: Duration = Duration::from_millis(2_200);
-/// Reports that nobody waits for are gathered for so long, so that the leader takes a few
-/// messages a second of each controller, not several of each router.
-const GATHERING: Duration = Duration::from_millis(25);
-/// Reports in one message at the most, and in all that wait: about as many as twice the
-/// routers of a controller send while it dials the leader. Beyond that the oldest go; use
-/// is reported anew, and questions end at the router's time limit.
-const BATCH: usize = 512;
-const MOST_WAITING: usize = 8 * BATCH;
-/// Time between signs of life to routers while there is no leader.
-const AWAITING_INTERVAL: Duration = Duration::from_millis(250);
-/// Routers are kept without a leader for so long where a quorum is heard: another controller
-/// may have one all the same. Most elections are far shorter.
-const KEPT_WITHOUT_LEADER: Duration = Duration::from_secs(2);
+/// A feed without a message for this time is closed. Routers detect a silent leader after about
+/// the same time, and look for another controller.
+const FEED_SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Longest wait for the first message; a new leader restores the committed state before it.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// Reports that are not urgent are batched for this time, so that the leader receives a few
+/// messages a second from each controller instead of several from each router.
+const BATCH_DELAY: Duration = Duration::from_millis(25);
+/// Maximum reports in one message.
+const MAX_BATCH_REPORTS: usize = 512;
+/// Maximum pending reports: about as many as twice the routers of a controller send while it
+/// connects to the leader. Beyond that the oldest are dropped: use is reported again, and
+/// requests of routers end at their time limit.
+const MAX_PENDING_REPORTS: usize = 8 * MAX_BATCH_REPORTS;
+/// Interval of keepalive messages to routers while there is no leader.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(250);
+/// Longest time without a leader for which sessions of routers are kept while a quorum is in
+/// contact: another controller may have a leader nevertheless. Most elections are far shorter.
+const MAX_TIME_WITHOUT_LEADER: Duration = Duration::from_secs(2);
 
-/// Reports on their way to the leader.
+/// Reports that are to be sent to the leader, and what is known of the link to it.
 #[derive(Debug, Default)]
 pub(crate) struct Upstream {
-    waiting: Mutex<Waiting>,
+    pending: Mutex<PendingReports>,
     wake: Notify,
-    /// Whether the present leader is of production's build.
-    leader_is_earlier: watch::Sender<bool>,
-    /// How the last try ended, as it was recorded.
-    told_problem: Mutex<Option<String>>,
+    /// Whether the present leader runs the previous release.
+    leader_is_previous_release: watch::Sender<bool>,
+    /// Problem of the last recorded attempt; `None` if it ended without one.
+    last_recorded_problem: Mutex<Option<String>>,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct PendingReports {
     linked: bool,
     reports: Vec<RelayedReport>,
-    /// Some router waits for what its report brings about.
+    /// A router waits for the effect of one of the reports.
     urgent: bool,
 }
 
 impl Upstream {
-    fn waiting(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, PendingReports> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps a report for the leader. Without a link it is dropped: with the next leader
-    /// routers tell anew what matters.
-    pub(crate) fn offer(&self, report: RelayedReport) {
-        let mut waiting = self.waiting();
-        if !waiting.linked {
+    /// Queues a report for the leader. Without a link it is dropped, since routers send the next
+    /// leader all relevant state again.
+    pub(crate) fn enqueue(&self, report: RelayedReport) {
+        let mut pending = self.pending();
+        if !pending.linked {
             return;
         }
-        waiting.urgent |= is_urgent(&report.news);
-        if waiting.reports.len() >= MOST_WAITING {
-            waiting.reports.drain(..BATCH);
+        pending.urgent |= is_urgent(&report.news);
+        if pending.reports.len() >= MAX_PENDING_REPORTS {
+            pending.reports.drain(..MAX_BATCH_REPORTS);
         }
-        waiting.reports.push(report);
-        drop(waiting);
+        pending.reports.push(report);
+        drop(pending);
         self.wake.notify_one();
     }
 
-    fn leader_is_earlier(&self) -> bool {
-        *self.leader_is_earlier.borrow()
+    fn leader_is_previous_release(&self) -> bool {
+        *self.leader_is_previous_release.borrow()
     }
 
-    fn set_leader_is_earlier(&self, is_earlier: bool) {
-        self.leader_is_earlier.send_replace(is_earlier);
+    fn set_leader_is_previous_release(&self, is_previous_release: bool) {
+        self.leader_is_previous_release
+            .send_replace(is_previous_release);
     }
 
-    /// Waits until the leader is known to be of production's build.
-    pub(crate) async fn until_leader_is_earlier(&self) {
-        let mut known = self.leader_is_earlier.subscribe();
-        if known.wait_for(|is_earlier| *is_earlier).await.is_err() {
-            // The sender lives as long as this.
+    /// Waits until the leader is known to run the previous release.
+    pub(crate) async fn until_leader_is_previous_release(&self) {
+        let mut known = self.leader_is_previous_release.subscribe();
+        if known
+            .wait_for(|is_previous_release| *is_previous_release)
+            .await
+            .is_err()
+        {
+            // Unreachable: the sender lives as long as `self`.
             std::future::pending::<()>().await;
         }
     }
 
     fn link(&self, routers: Vec<RelayedReport>) {
-        *self.waiting() = Waiting {
+        *self.pending() = PendingReports {
             linked: true,
             urgent: true,
             reports: routers,
@@ -105,27 +111,27 @@
         self.wake.notify_one();
     }
 
-    /// Ends the link; returns whether there was one.
+    /// Ends the link and drops its reports; returns whether there was one.
     fn unlink(&self) -> bool {
-        std::mem::take(&mut *self.waiting()).linked
+        std::mem::take(&mut *self.pending()).linked
     }
 
-    /// Whether the last try ended in another way than this.
-    fn is_new(&self, problem: Option<&str>) -> bool {
-        let told = self.told_problem.lock();
-        let mut told = told.unwrap_or_else(PoisonError::into_inner);
-        let is_new = told.as_deref() != problem;
-        *told = problem.map(str::to_owned);
-        is_new
+    /// Notes how an attempt ended; returns whether the previous one ended differently.
+    fn is_new_problem(&self, problem: Option<&str>) -> bool {
+        let recorded = self.last_recorded_problem.lock();
+        let mut recorded = recorded.unwrap_or_else(PoisonError::into_inner);
+        let is_new_problem = recorded.as_deref() != problem;
+        *recorded = problem.map(str::to_owned);
+        is_new_problem
     }
 
-    /// Waits for reports; urgent ones go at once.
-    async fn gather(&self) -> Vec<RelayedReport> {
-        while self.waiting().reports.is_empty() {
+    /// Waits for the next batch of reports; an urgent report ends the wait.
+    async fn next_batch(&self) -> Vec<RelayedReport> {
+        while self.pending().reports.is_empty() {
             self.wake.notified().await;
         }
-        let due = Instant::now() + GATHERING;
-        while !self.waiting().is_due() {
+        let due = Instant::now() + BATCH_DELAY;
+        while !self.pending().is_due() {
             if tokio::time::timeout_at(due, self.wake.notified())
                 .await
                 .is_err()
@@ -133,24 +139,24 @@
                 break;
             }
         }
-        self.waiting().take()
+        self.pending().take_batch()
     }
 }
 
-impl Waiting {
+impl PendingReports {
     fn is_due(&self) -> bool {
-        self.urgent || self.reports.len() >= BATCH
+        self.urgent || self.reports.len() >= MAX_BATCH_REPORTS
     }
 
-    fn take(&mut self) -> Vec<RelayedReport> {
-        let length = self.reports.len().min(BATCH);
-        let taken: Vec<RelayedReport> = self.reports.drain(..length).collect();
+    fn take_batch(&mut self) -> Vec<RelayedReport> {
+        let length = self.reports.len().min(MAX_BATCH_REPORTS);
+        let batch: Vec<RelayedReport> = self.reports.drain(..length).collect();
         self.urgent &= !self.reports.is_empty();
-        taken
+        batch
     }
 }
 
-/// Whether somebody waits for what a report brings about.
+/// Whether a router or its requests wait for the effect of a report.
 fn is_urgent(news: &RouterNews) -> bool {
     match news {
         RouterNews::Reports(ReportMessage::Usage {
@@ -163,55 +169,57 @@
     }
 }
 
-/// Runs until the process stops.
+/// Relays the feed of each leader in turn until the process stops.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let ended = |address: SocketAddr, problem: Option<WireError>| {
-        shared.upstream.set_leader_is_earlier(false);
+        shared.upstream.set_leader_is_previous_release(false);
         let linked = shared.upstream.unlink();
-        if !shared.replica.leads() && shared.feeding.send_replace(false) {
+        if !shared.replica.leads() && shared.feed_available.send_replace(false) {
             shared.sessions.broadcast_to_routers(FeedMessage::Awaiting);
         }
         let problem = problem.as_ref().map(ToString::to_string);
-        // A leader that is down is dialled over and over; it is told once.
-        if linked || shared.upstream.is_new(problem.as_deref()) {
+        // Connects to an unreachable leader are repeated; an unchanged problem is recorded once.
+        if linked || shared.upstream.is_new_problem(problem.as_deref()) {
             emit(&ControllerRecord::UpstreamEnded {
                 leader: &address.to_string(),
                 problem: problem.as_deref(),
             });
         }
     };
-    leader_link::keep(&shared, |address| follow(address, &shared), ended).await;
+    leader_link::run_with_leader(&shared, |address| subscribe(address, &shared), ended).await;
 }
 
-/// Follows a leader until its feed ends.
-async fn follow(address: SocketAddr, shared: &Arc<Shared>) -> Result<(), WireError> {
+/// Subscribes to a leader's feed and relays it until it ends.
+async fn subscribe(address: SocketAddr, shared: &Arc<Shared>) -> Result<(), WireError> {
     let connection = leader_link::connect(address, shared).await?;
-    let is_earlier = connection.is_earlier();
-    shared.upstream.set_leader_is_earlier(is_earlier);
+    let is_previous_release = connection.is_earlier();
+    shared
+        .upstream
+        .set_leader_is_previous_release(is_previous_release);
     let Connection {
         mut sender,
         receiver,
         ..
     } = connection;
-    if is_earlier {
-        return until_silent(receiver, address).await;
+    if is_previous_release {
+        return wait_until_silent(receiver, address).await;
     }
-    let follow = Message::FollowLeader {
+    let request = Message::FollowLeader {
         zone: Zone::from(shared.settings.zone.as_str()),
         known: shared.sessions.digests(),
     };
-    sender.send(&follow).await?;
+    sender.send(&request).await?;
     tokio::select! {
-        ended = receive_all(receiver, address, shared) => ended,
-        ended = report_all(sender, shared) => ended,
+        ended = receive_feed(receiver, address, shared) => ended,
+        ended = send_reports(sender, shared) => ended,
     }
 }
 
-/// Waits until a leader of production's build is gone. It has no feed for controllers: routers
-/// are told to go there themselves.
-async fn until_silent(mut receiver: Receiver, address: SocketAddr) -> Result<(), WireError> {
+/// Waits until a leader of the previous release is silent or closes the connection. It has no
+/// feed for controllers, so routers are redirected to it.
+async fn wait_until_silent(mut receiver: Receiver, address: SocketAddr) -> Result<(), WireError> {
     loop {
-        let received = tokio::time::timeout(SILENCE_LIMIT, receiver.receive()).await;
+        let received = tokio::time::timeout(FEED_SILENCE_TIMEOUT, receiver.receive()).await;
         let received = received.unwrap_or(Err(timed_out("receive", address)));
         if received?.is_none() {
             return Ok(());
@@ -219,60 +227,62 @@
     }
 }
 
-async fn report_all(mut sender: Sender, shared: &Shared) -> Result<(), WireError> {
+async fn send_reports(mut sender: Sender, shared: &Shared) -> Result<(), WireError> {
     loop {
-        let reports = shared.upstream.gather().await;
+        let reports = shared.upstream.next_batch().await;
         sender.send(&Message::RelayedReports(reports)).await?;
     }
 }
 
-async fn receive_all(
+async fn receive_feed(
     mut receiver: Receiver,
     address: SocketAddr,
     shared: &Shared,
 ) -> Result<(), WireError> {
-    let mut limit = FIRST_LIMIT;
+    let mut limit = FIRST_MESSAGE_TIMEOUT;
     loop {
         let received = tokio::time::timeout(limit, receiver.receive()).await;
         let received = received.unwrap_or(Err(timed_out("receive", address)));
         match received? {
             Some(Message::ServiceFeed(FeedMessage::NoFeed { .. })) | None => return Ok(()),
-            Some(Message::ServiceFeed(message)) => take(message, shared),
+            Some(Message::ServiceFeed(message)) => handle_feed_message(message, shared),
             Some(Message::RelayedAnswer {
                 router,
                 session,
                 answer,
             }) => shared.sessions.send_to_router(&router, session, answer),
-            Some(other) => log::warn!("upstream: {address} sent {other:?}"),
+            Some(other) => {
+                log::warn!("upstream: unexpected message from leader {address}: {other:?}")
+            }
         }
-        limit = SILENCE_LIMIT;
+        limit = FEED_SILENCE_TIMEOUT;
     }
 }
 
-fn take(message: FeedMessage, shared: &Shared) {
+fn handle_feed_message(message: FeedMessage, shared: &Shared) {
     let sessions = &shared.sessions;
     match message {
         FeedMessage::Leadership { term, settled } => {
-            sessions.lead(Leadership { term, settled });
-            shared.upstream.link(all_routers(shared));
+            sessions.begin_leadership(Leadership { term, settled });
+            shared.upstream.link(router_subscriptions(shared));
             emit(&ControllerRecord::UpstreamBegan { term });
         }
         FeedMessage::Part {
             part,
             instances,
             complete,
-        } => sessions.take_part(part, instances, complete),
-        FeedMessage::Live(live) => sessions.settle(live),
+        } => sessions.set_bucket(part, instances, complete),
+        FeedMessage::Live(live) => sessions.mark_settled(live),
         FeedMessage::Instances { changed, gone } => sessions.send_instances(changed, gone),
         FeedMessage::Usage { .. } => {
             sessions.broadcast_to_routers(message);
-            // The last message of an opening: all is there.
-            if !shared.feeding.send_replace(true) {
-                sessions.tell_digests();
+            // The last of the initial messages: the state is complete.
+            if !shared.feed_available.send_replace(true) {
+                sessions.send_digests();
             }
         }
         FeedMessage::Members(members) => {
-            shared.places.follow(&members);
+            shared.member_zones.update(&members);
             sessions.broadcast_to_routers(FeedMessage::Members(members));
         }
         FeedMessage::Quotas { .. } | FeedMessage::Quarantine { .. } | FeedMessage::Limits(_) => {
@@ -287,61 +297,62 @@
     }
 }
 
-/// The routers that follow this controller, as a new leader has to be told of them.
-pub(crate) fn all_routers(shared: &Shared) -> Vec<RelayedReport> {
+/// The routers that subscribe here, as reports for a new leader.
+pub(crate) fn router_subscriptions(shared: &Shared) -> Vec<RelayedReport> {
     let routers = shared.sessions.routers().into_iter();
-    // What is in force there they say themselves with their next reports.
-    let follows = RouterNews::Follows { configuration: 0 };
+    // The routers' next reports contain the configuration that is in force there.
+    let subscription = RouterNews::Follows { configuration: 0 };
     let routers = routers.map(|(router, session)| RelayedReport {
         router,
         session,
-        news: follows.clone(),
+        news: subscription.clone(),
     });
     routers.collect()
 }
 
-/// Keeps routers through an election; lets them go when it takes too long, or at once when
-/// no quorum is heard.
-pub(crate) async fn keep_routers(shared: Arc<Shared>) {
-    let mut fed_at = Instant::now();
+/// Keeps the sessions of routers open through an election; ends them when it takes longer than
+/// [`MAX_TIME_WITHOUT_LEADER`], or at once when contact with a quorum is lost.
+pub(crate) async fn retain_routers(shared: Arc<Shared>) {
+    let mut last_fed_at = Instant::now();
     loop {
-        let cut_off = tokio::select! {
-            () = tokio::time::sleep(AWAITING_INTERVAL) => shared.replica.has_lost_quorum(),
-            () = becomes_cut_off(&shared) => true,
-            () = becomes_earlier(&shared) => false,
+        let lost_quorum = tokio::select! {
+            () = tokio::time::sleep(KEEPALIVE_INTERVAL) => shared.replica.has_lost_quorum(),
+            () = quorum_loss(&shared) => true,
+            () = switch_to_previous_release(&shared) => false,
         };
-        if *shared.feeding.borrow() {
-            fed_at = Instant::now();
-        } else if cut_off
-            || shared.upstream.leader_is_earlier()
-            || fed_at.elapsed() >= KEPT_WITHOUT_LEADER
+        if *shared.feed_available.borrow() {
+            last_fed_at = Instant::now();
+        } else if lost_quorum
+            || shared.upstream.leader_is_previous_release()
+            || last_fed_at.elapsed() >= MAX_TIME_WITHOUT_LEADER
         {
-            let_go(&shared, cut_off);
+            dismiss_routers(&shared, lost_quorum);
         } else {
             shared.sessions.broadcast_to_routers(FeedMessage::Awaiting);
         }
     }
 }
 
-/// Waits until no quorum is heard any more; for ever where that is so already.
-async fn becomes_cut_off(shared: &Shared) {
+/// Waits until contact with a quorum is lost; pends forever if it already is.
+async fn quorum_loss(shared: &Shared) {
     if shared.replica.has_lost_quorum() {
         std::future::pending::<()>().await;
     }
     shared.replica.until_quorum_lost().await;
 }
 
-/// Waits until the leader comes to be of production's build; for ever where it is already.
-async fn becomes_earlier(shared: &Shared) {
-    if shared.upstream.leader_is_earlier() {
+/// Waits until the leader changes to one of the previous release; pends forever if it already is
+/// one.
+async fn switch_to_previous_release(shared: &Shared) {
+    if shared.upstream.leader_is_previous_release() {
         std::future::pending::<()>().await;
     }
-    shared.upstream.until_leader_is_earlier().await;
+    shared.upstream.until_leader_is_previous_release().await;
 }
 
-fn let_go(shared: &Shared, lost_quorum: bool) {
+fn dismiss_routers(shared: &Shared, lost_quorum: bool) {
     let leader = shared.leader_address().map(|address| address.to_string());
-    let routers = shared.sessions.let_routers_go(leader);
+    let routers = shared.sessions.dismiss_routers(leader);
     if routers > 0 {
         emit(&ControllerRecord::RoutersLetGo {
             routers,
--- a/crates/coordinator/tests/configuration_feed.rs
+++ b/crates/coordinator/tests/configuration_feed.rs
@@ -1,4 +1,4 @@
-//! Configurations reach a large fleet within the time that operators allow.
+//! Configuration feed: differences reach a large fleet in time, which whole documents would not.
 
 use courseshunt_coordinator::configuration_feed::ConfigurationFeed;
 use courseshunt_services::FeedMessage;
@@ -6,17 +6,17 @@
 use courseshunt_wire::{Frame, Message, decode};
 
 const ROUTERS: u32 = 291;
-/// Links of the leader and of a router, in bytes a second.
-const LEADER_LINK: f64 = 1e9 / 8.0;
-const ROUTER_LINK: f64 = 10e6 / 8.0;
-/// Time from the acknowledgement in which routers must have a configuration.
-const ALLOWED_S: f64 = 3.0;
-/// What we ask for.
-const AIM_S: f64 = 1.0;
-const FRAME_HEADER: usize = 9;
-const LONGEST: usize = 16 * 1024 * 1024;
+/// Bandwidth of the links of the leader and of a router, in bytes a second.
+const LEADER_BYTES_PER_SECOND: f64 = 1e9 / 8.0;
+const ROUTER_BYTES_PER_SECOND: f64 = 10e6 / 8.0;
+/// Time from the acknowledgement within which routers must have a configuration.
+const MAX_ROLLOUT_S: f64 = 3.0;
+/// Time within which the test requires that they have it.
+const ROLLOUT_OBJECTIVE_S: f64 = 1.0;
+const FRAME_HEADER_BYTES: usize = 9;
+const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
 
-/// A document with so many routes, each with names of its own.
+/// A document with `routes` routes, each with distinct names that compress badly.
 fn document(routes: u32) -> Vec<u8> {
     let route = |number: u32| {
         let name = u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -31,15 +31,15 @@
     (0..routes).map(route).collect::<String>().into_bytes()
 }
 
-/// Time until the last router has a frame that the leader sends to each of them.
-fn spread_s(frame_bytes: usize) -> f64 {
+/// Time until the last router has received a frame that the leader sends to each of them.
+fn rollout_seconds(frame_bytes: usize) -> f64 {
     let bytes = frame_bytes as f64;
-    f64::from(ROUTERS) * bytes / LEADER_LINK + bytes / ROUTER_LINK
+    f64::from(ROUTERS) * bytes / LEADER_BYTES_PER_SECOND + bytes / ROUTER_BYTES_PER_SECOND
 }
 
-/// What a router holds after a frame.
+/// The number and document that a router holds after it has applied a frame.
 fn apply(frame: &Frame, held: (u64, Vec<u8>)) -> (u64, Vec<u8>) {
-    let content = &frame.bytes()[FRAME_HEADER..];
+    let content = &frame.bytes()[FRAME_HEADER_BYTES..];
     let message = decode(content, crc32fast::hash(content)).unwrap();
     let Message::ServiceFeed(FeedMessage::Configuration {
         number,
@@ -48,7 +48,7 @@
         ..
     }) = message
     else {
-        panic!("{message:?} is no configuration");
+        panic!("expected a configuration, got {message:?}");
     };
     let older = match base {
         0 => Vec::new(),
@@ -59,19 +59,24 @@
     };
     (
         number,
-        apply_difference(&older, &difference, LONGEST).unwrap(),
+        apply_difference(&older, &difference, MAX_DOCUMENT_BYTES).unwrap(),
     )
 }
 
-/// The fault: a whole document for each router.
+/// The failure that differences prevent: a whole document for each router exceeds the allowed
+/// time.
 #[test]
-fn whole_documents_would_come_too_late() {
+fn whole_documents_exceed_the_allowed_time() {
     let bytes = document(40 + 3 * 1_600).len();
-    assert!(spread_s(bytes) > ALLOWED_S, "{:.2} s", spread_s(bytes));
+    assert!(
+        rollout_seconds(bytes) > MAX_ROLLOUT_S,
+        "{:.2} s",
+        rollout_seconds(bytes)
+    );
 }
 
 #[test]
-fn large_changes_one_after_the_other_reach_all_in_time() {
+fn consecutive_large_changes_reach_all_routers_in_time() {
     let mut feed = ConfigurationFeed::default();
     let mut held = (0, Vec::new());
     for change in 1..=6_u32 {
@@ -79,15 +84,18 @@
         let newer = document(40 + (change - 1) * 1_600);
         assert!(feed.publish(number, &newer));
         let frame = feed.frame_for(held.0).unwrap();
-        let spread = spread_s(frame.bytes().len());
-        assert!(spread < AIM_S, "change {change} takes {spread:.2} s");
+        let seconds = rollout_seconds(frame.bytes().len());
+        assert!(
+            seconds < ROLLOUT_OBJECTIVE_S,
+            "change {change} takes {seconds:.2} s"
+        );
         held = apply(&frame, held);
         assert_eq!(held, (number, newer));
     }
 }
 
 #[test]
-fn a_router_gets_what_it_lacks() {
+fn a_router_is_sent_the_difference_or_the_whole_document() {
     let mut feed = ConfigurationFeed::default();
     let (older, newer) = (document(100), document(120));
     feed.publish(3, &older);
@@ -103,7 +111,7 @@
 }
 
 #[test]
-fn an_older_document_changes_nothing() {
+fn an_older_document_is_not_published() {
     let mut feed = ConfigurationFeed::default();
     assert!(feed.frame_for(0).is_none());
     assert!(feed.publish(7, &document(10)));
--- a/crates/coordinator/tests/order_permission.rs
+++ b/crates/coordinator/tests/order_permission.rs
@@ -1,6 +1,7 @@
-//! When a leader may give orders, in a table.
+//! Conditions under which a leader gives orders, records itself as the holder, hands the leadership
+//! over or waits.
 
-use courseshunt_coordinator::order_permission::{OrderTurn, TurnView, decide};
+use courseshunt_coordinator::order_permission::{OrderDecision, OrderView, decide};
 use courseshunt_types::{ControllerId, Millis};
 use std::collections::BTreeSet;
 
@@ -11,88 +12,88 @@
     name: &'static str,
     holder: Option<ControllerId>,
     caught_up: bool,
-    led_for: u64,
-    up_for: u64,
+    since_election: u64,
+    uptime: u64,
     live: &'static [ControllerId],
-    expected: OrderTurn,
+    expected: OrderDecision,
 }
 
-const CALM: Case = Case {
-    name: "holder, long elected",
+const LONG_ELECTED: Case = Case {
+    name: "the holder, elected long ago",
     holder: Some(OWN),
     caught_up: true,
-    led_for: 60_000,
-    up_for: 60_000,
+    since_election: 60_000,
+    uptime: 60_000,
     live: &[OTHER],
-    expected: OrderTurn::Give,
+    expected: OrderDecision::Allow,
 };
 
 const CASES: &[Case] = &[
-    CALM,
+    LONG_ELECTED,
     Case {
-        name: "what earlier leaders committed is not known yet",
+        name: "entries of earlier leaders are not applied yet",
         caught_up: false,
-        expected: OrderTurn::Wait,
-        ..CALM
+        expected: OrderDecision::Wait,
+        ..LONG_ELECTED
     },
     Case {
-        name: "elected again, nobody else gave orders",
-        led_for: 1_000,
-        up_for: 1_500,
-        ..CALM
+        name: "elected again, no other member gave orders",
+        since_election: 1_000,
+        uptime: 1_500,
+        ..LONG_ELECTED
     },
     Case {
-        name: "elected again, reports are missing",
-        led_for: 900,
-        up_for: 1_500,
-        expected: OrderTurn::Wait,
-        ..CALM
+        name: "elected again, time for reports has not passed",
+        since_election: 900,
+        uptime: 1_500,
+        expected: OrderDecision::Wait,
+        ..LONG_ELECTED
     },
     Case {
         name: "no orders were ever given",
         holder: None,
-        led_for: 10,
-        up_for: 300,
-        expected: OrderTurn::Record,
-        ..CALM
+        since_election: 10,
+        uptime: 300,
+        expected: OrderDecision::RecordHolder,
+        ..LONG_ELECTED
     },
     Case {
-        name: "another gave orders within the lease",
+        name: "another member gave orders within the lease",
         holder: Some(OTHER),
-        led_for: 3_449,
-        expected: OrderTurn::Wait,
-        ..CALM
+        since_election: 3_449,
+        expected: OrderDecision::Wait,
+        ..LONG_ELECTED
     },
     Case {
-        name: "the other's lease has passed",
+        name: "the lease of the other member has passed",
         holder: Some(OTHER),
-        led_for: 3_450,
-        expected: OrderTurn::Record,
-        ..CALM
+        since_election: 3_450,
+        expected: OrderDecision::RecordHolder,
+        ..LONG_ELECTED
     },
     Case {
-        name: "all restarted, the holder is there",
+        name: "all restarted, the holder is live",
         holder: Some(OTHER),
-        led_for: 100,
-        up_for: 800,
-        expected: OrderTurn::HandOver(OTHER),
-        ..CALM
+        since_election: 100,
+        uptime: 800,
+        expected: OrderDecision::HandOver(OTHER),
+        ..LONG_ELECTED
     },
     Case {
-        name: "all restarted, the holder is not there",
+        name: "all restarted, the holder is not live",
         holder: Some(OTHER),
-        led_for: 100,
-        up_for: 800,
+        since_election: 100,
+        uptime: 800,
         live: &[],
-        expected: OrderTurn::Wait,
-        ..CALM
+        expected: OrderDecision::Wait,
+        ..LONG_ELECTED
     },
     Case {
-        name: "the holder lost its leadership, this member ran on",
+        name: "the holder lost its leadership, this member did not restart",
         holder: Some(OTHER),
-        led_for: 100,
-        expected: OrderTurn::Wait,
-        ..CALM
+        since_election: 100,
+        expected: OrderDecision::Wait,
+        ..LONG_ELECTED
     },
 ];
 
@@ -100,12 +101,12 @@
 fn orders_are_given_by_the_holder_or_after_its_lease() {
     for case in CASES {
         let live = BTreeSet::from_iter(case.live.iter().copied());
-        let view = TurnView {
+        let view = OrderView {
             own: OWN,
             holder: case.holder,
             caught_up: case.caught_up,
-            led_for: Millis(case.led_for),
-            up_for: Millis(case.up_for),
+            since_election: Millis(case.since_election),
+            uptime: Millis(case.uptime),
             lease: Millis(3_450),
             live: &live,
         };
--- a/crates/coordinator/tests/registration_storm.rs
+++ b/crates/coordinator/tests/registration_storm.rs
@@ -1,9 +1,11 @@
-//! 3,000 instances that register at nine controllers, in virtual time: after a leader
-//! was away for a moment, the load that it met must fall back by itself.
+//! Simulates 3,000 instances that register at nine controllers, in virtual time. After the leader
+//! was unresponsive for a moment, its load must return to normal without intervention. It did not
+//! when controllers redirected instances to the leader: the new connections of all instances kept
+//! it overloaded.
 //!
 //! Costs are in microseconds of a controller with 0.15 of a core.
 
-use courseshunt_coordinator::registration_admission::{Taking, TakingView, decide};
+use courseshunt_coordinator::registration_admission::{Admission, AdmissionView, decide};
 use courseshunt_types::Millis;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,23 +14,23 @@
 const LEADER: usize = 0;
 const PERIOD: u64 = 1_200_000;
 const CALLER_TIMEOUT: u64 = 1_000_000;
-/// A batch of relayed registrations that isn't answered within this ends the relay.
+/// A batch of relayed registrations without a reply within this time ends the link to the leader.
 const RELAY_TIMEOUT: u64 = 600_000;
 const RELAY_PERIOD: u64 = 100_000;
 const CONNECTION_COST: u64 = 1_500;
 const REGISTRATION_COST: u64 = 500;
 const RELAYED_COST: u64 = 60;
-const LENGTH: u64 = 60_000_000;
-/// The leader does nothing else meanwhile.
-const AWAY: std::ops::Range<u64> = 10_000_000..12_500_000;
+const SIMULATED_TIME: u64 = 60_000_000;
+/// Time in which the leader is unresponsive.
+const LEADER_UNRESPONSIVE: std::ops::Range<u64> = 10_000_000..12_500_000;
 
-/// What a controller does that does not reach the leader.
+/// What a controller without a link to the leader does with registrations.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Way {
-    /// It sends instances to the leader, which tells them to stay.
+enum RelayPolicy {
+    /// It redirects instances to the leader, which accepts their registrations.
     Redirect,
-    /// As [`decide`] says.
-    Hold,
+    /// It accepts or rejects them by [`decide`].
+    Decide,
 }
 
 #[derive(Clone, Copy)]
@@ -49,36 +51,37 @@
 struct Controller {
     queue: VecDeque<Work>,
     free_at: u64,
-    taken: u64,
+    pending_registrations: u64,
     linked: bool,
     unlinked_at: u64,
-    /// Moment at which a batch on its way is given up.
-    batch_until: Option<u64>,
+    /// Deadline of the batch in flight.
+    batch_deadline: Option<u64>,
 }
 
 #[derive(Default)]
 struct Outcome {
     /// New connections in each second, over all controllers.
     connections: Vec<u64>,
+    /// Calls that timed out in each second.
     failures: Vec<u64>,
 }
 
-struct World {
-    way: Way,
+struct Simulation {
+    policy: RelayPolicy,
     controllers: Vec<Controller>,
-    /// Controller that each instance calls.
-    at: Vec<usize>,
+    /// The controller that each instance calls.
+    called_controller: Vec<usize>,
     events: BTreeMap<u64, Vec<Event>>,
     outcome: Outcome,
 }
 
 enum Event {
     Call { instance: usize, new: bool },
-    GiveUp { instance: usize, sent: u64 },
+    TimeOut { instance: usize, sent: u64 },
 }
 
-impl World {
-    fn new(way: Way) -> Self {
+impl Simulation {
+    fn new(policy: RelayPolicy) -> Self {
         let mut events: BTreeMap<u64, Vec<Event>> = BTreeMap::new();
         for instance in 0..INSTANCES {
             let first = instance as u64 * PERIOD / INSTANCES as u64;
@@ -92,11 +95,11 @@
             linked: true,
             ..Controller::default()
         };
-        let seconds = (LENGTH / 1_000_000) as usize + 1;
+        let seconds = (SIMULATED_TIME / 1_000_000) as usize + 1;
         Self {
-            way,
+            policy,
             controllers: (0..CONTROLLERS).map(controller).collect(),
-            at: (0..INSTANCES).map(|one| one % CONTROLLERS).collect(),
+            called_controller: (0..INSTANCES).map(|one| one % CONTROLLERS).collect(),
             events,
             outcome: Outcome {
                 connections: vec![0; seconds],
@@ -105,29 +108,29 @@
         }
     }
 
-    fn later(&mut self, at: u64, event: Event) {
+    fn schedule(&mut self, at: u64, event: Event) {
         self.events.entry(at).or_default().push(event);
     }
 
-    fn play(mut self) -> Outcome {
+    fn run(mut self) -> Outcome {
         let mut answered = vec![0_u64; INSTANCES];
         let mut now = 0;
-        while now < LENGTH {
+        while now < SIMULATED_TIME {
             let due: Vec<Event> = self.events.remove(&now).into_iter().flatten().collect();
             for event in due {
-                self.happen(event, now, &answered);
+                self.handle_event(event, now, &answered);
             }
             for number in 0..CONTROLLERS {
-                self.work(number, now, &mut answered);
+                self.process(number, now, &mut answered);
             }
             self.relay(now);
-            // Events lie on whole steps.
+            // All events are at multiples of the step.
             now += 100;
         }
         self.outcome
     }
 
-    fn happen(&mut self, event: Event, now: u64, answered: &[u64]) {
+    fn handle_event(&mut self, event: Event, now: u64, answered: &[u64]) {
         match event {
             Event::Call { instance, new } => {
                 let sent = now;
@@ -136,23 +139,25 @@
                     sent,
                     new,
                 };
-                self.controllers[self.at[instance]].queue.push_back(work);
+                self.controllers[self.called_controller[instance]]
+                    .queue
+                    .push_back(work);
                 if new {
                     self.outcome.connections[(now / 1_000_000) as usize] += 1;
                 }
-                self.later(now + CALLER_TIMEOUT, Event::GiveUp { instance, sent });
+                self.schedule(now + CALLER_TIMEOUT, Event::TimeOut { instance, sent });
             }
-            Event::GiveUp { instance, sent } if answered[instance] < sent => {
+            Event::TimeOut { instance, sent } if answered[instance] < sent => {
                 self.outcome.failures[(now / 1_000_000) as usize] += 1;
                 self.move_on(instance, now);
             }
-            Event::GiveUp { .. } => {}
+            Event::TimeOut { .. } => {}
         }
     }
 
     fn move_on(&mut self, instance: usize, now: u64) {
-        self.at[instance] = (self.at[instance] + 1) % CONTROLLERS;
-        self.later(
+        self.called_controller[instance] = (self.called_controller[instance] + 1) % CONTROLLERS;
+        self.schedule(
             now + 100,
             Event::Call {
                 instance,
@@ -161,8 +166,8 @@
         );
     }
 
-    fn work(&mut self, number: usize, now: u64, answered: &mut [u64]) {
-        if number == LEADER && AWAY.contains(&now) {
+    fn process(&mut self, number: usize, now: u64, answered: &mut [u64]) {
+        if number == LEADER && LEADER_UNRESPONSIVE.contains(&now) {
             return;
         }
         while self.controllers[number].free_at <= now {
@@ -183,7 +188,7 @@
                 Work::Batch { from, sent, .. } => {
                     let other = &mut self.controllers[from];
                     if now < sent + RELAY_TIMEOUT {
-                        other.batch_until = None;
+                        other.batch_deadline = None;
                         other.linked = true;
                     }
                 }
@@ -199,27 +204,27 @@
         now: u64,
         answered: &mut [u64],
     ) {
-        // The caller has moved on: the work was done for nothing.
+        // The caller has timed out; the work was wasted.
         if now >= sent + CALLER_TIMEOUT {
             return;
         }
         let controller = &mut self.controllers[number];
-        let away = Millis(now.saturating_sub(controller.unlinked_at) / 1_000);
-        let view = TakingView {
+        let elapsed = Millis(now.saturating_sub(controller.unlinked_at) / 1_000);
+        let view = AdmissionView {
             leads: number == LEADER,
-            hears_leader: true,
-            out_of_reach_for: (!controller.linked).then_some(away),
+            has_leader: true,
+            leader_unreachable_for: (!controller.linked).then_some(elapsed),
         };
-        let takes = match self.way {
-            Way::Hold => decide(view) == Taking::Take,
-            Way::Redirect => number == LEADER || controller.linked,
+        let is_accepted = match self.policy {
+            RelayPolicy::Decide => decide(view) == Admission::Accept,
+            RelayPolicy::Redirect => number == LEADER || controller.linked,
         };
         answered[instance] = now.max(sent);
-        if takes {
-            controller.taken += 1;
+        if is_accepted {
+            controller.pending_registrations += 1;
             let next = (sent + PERIOD).max(now + 100);
             let next = next.next_multiple_of(100);
-            self.later(
+            self.schedule(
                 next,
                 Event::Call {
                     instance,
@@ -228,11 +233,11 @@
             );
             return;
         }
-        match self.way {
-            Way::Hold => self.move_on(instance, now),
-            Way::Redirect => {
-                self.at[instance] = LEADER;
-                self.later(
+        match self.policy {
+            RelayPolicy::Decide => self.move_on(instance, now),
+            RelayPolicy::Redirect => {
+                self.called_controller[instance] = LEADER;
+                self.schedule(
                     now + 100,
                     Event::Call {
                         instance,
@@ -246,19 +251,19 @@
     fn relay(&mut self, now: u64) {
         for number in 1..CONTROLLERS {
             let controller = &mut self.controllers[number];
-            if controller.batch_until.is_some_and(|until| now >= until) {
-                controller.batch_until = None;
+            if controller.batch_deadline.is_some_and(|until| now >= until) {
+                controller.batch_deadline = None;
                 if controller.linked {
                     controller.unlinked_at = now;
                 }
                 controller.linked = false;
             }
             let due = (now + number as u64 * 7_000).is_multiple_of(RELAY_PERIOD);
-            if !due || controller.batch_until.is_some() {
+            if !due || controller.batch_deadline.is_some() {
                 continue;
             }
-            controller.batch_until = Some(now + RELAY_TIMEOUT);
-            let entries = std::mem::take(&mut controller.taken);
+            controller.batch_deadline = Some(now + RELAY_TIMEOUT);
+            let entries = std::mem::take(&mut controller.pending_registrations);
             let batch = Work::Batch {
                 from: number,
                 entries,
@@ -269,40 +274,44 @@
     }
 }
 
-fn play(way: Way) -> Outcome {
-    let outcome = World::new(way).play();
+fn run(policy: RelayPolicy) -> Outcome {
+    let outcome = Simulation::new(policy).run();
     println!(
-        "{way:?}: new connections in each second {:?}",
+        "{policy:?}: new connections in each second {:?}",
         outcome.connections
     );
     println!(
-        "{way:?}: calls given up in each second {:?}",
+        "{policy:?}: calls timed out in each second {:?}",
         outcome.failures
     );
     outcome
 }
 
-fn at_the_end(counts: &[u64]) -> u64 {
+fn mean_of_last_seconds(counts: &[u64]) -> u64 {
     let last = counts.len() - 1;
     counts[last - 10..last].iter().sum::<u64>() / 10
 }
 
 #[test]
-fn the_load_falls_back_after_a_leader_was_away() {
-    let held = play(Way::Hold);
-    assert_eq!(at_the_end(&held.failures), 0);
-    assert!(at_the_end(&held.connections) < 30);
-    let soon_after = AWAY.end as usize / 1_000_000 + 2;
-    let later = held.connections[soon_after..].iter().max();
-    assert_eq!(later, Some(&0), "two seconds after the leader is back");
+fn load_returns_to_normal_after_the_leader_was_unresponsive() {
+    let decided = run(RelayPolicy::Decide);
+    assert_eq!(mean_of_last_seconds(&decided.failures), 0);
+    assert!(mean_of_last_seconds(&decided.connections) < 30);
+    let soon_after = LEADER_UNRESPONSIVE.end as usize / 1_000_000 + 2;
+    let later = decided.connections[soon_after..].iter().max();
+    assert_eq!(
+        later,
+        Some(&0),
+        "new connections later than two seconds after the leader answers again"
+    );
 }
 
-/// The state that sending instances to the leader leads to, which holds itself up.
+/// The stable overload that redirecting instances to the leader causes.
 #[test]
-fn sending_instances_to_the_leader_keeps_it_overloaded() {
-    let sent = play(Way::Redirect);
-    let failures = at_the_end(&sent.failures);
-    let connections = at_the_end(&sent.connections);
+fn redirecting_instances_to_the_leader_keeps_it_overloaded() {
+    let redirected = run(RelayPolicy::Redirect);
+    let failures = mean_of_last_seconds(&redirected.failures);
+    let connections = mean_of_last_seconds(&redirected.connections);
     assert!(
         failures > 300 && connections > 300,
         "{failures}, {connections}"
@@ -310,22 +319,22 @@
 }
 
 #[test]
-fn a_controller_takes_what_it_can_pass_on_soon() {
+fn a_controller_accepts_registrations_that_it_can_relay_soon() {
     let cases = [
-        (true, false, Some(60_000), Taking::Take),
-        (false, true, None, Taking::Take),
-        (false, true, Some(2_000), Taking::Take),
-        (false, true, Some(2_001), Taking::TryAnother),
-        // Cut off from the others: nobody would know of the instance.
-        (false, false, None, Taking::TryAnother),
-        (false, false, Some(10), Taking::TryAnother),
+        (true, false, Some(60_000), Admission::Accept),
+        (false, true, None, Admission::Accept),
+        (false, true, Some(2_000), Admission::Accept),
+        (false, true, Some(2_001), Admission::TryAnother),
+        // Cut off from the other controllers: the registration would reach none of them.
+        (false, false, None, Admission::TryAnother),
+        (false, false, Some(10), Admission::TryAnother),
     ];
-    for (leads, hears_leader, away, wanted) in cases {
-        let view = TakingView {
+    for (leads, has_leader, elapsed, expected) in cases {
+        let view = AdmissionView {
             leads,
-            hears_leader,
-            out_of_reach_for: away.map(Millis),
+            has_leader,
+            leader_unreachable_for: elapsed.map(Millis),
         };
-        assert_eq!(decide(view), wanted, "{view:?}");
+        assert_eq!(decide(view), expected, "{view:?}");
     }
 }
