--- a/crates/coordinator/src/feed.rs
+++ b/crates/coordinator/src/feed.rs
@@ -94,7 +94,8 @@
         // A leader of the previous release feeds no controllers, so the router has to connect to
         // it directly.
         () = shared.upstream.until_leader_is_previous_release() => *shared.feed_available.borrow(),
-        // Without a quorum no feed is to be expected here, while another controller may have one.
+        // Without a quorum no feed is to be expected here. Another controller may have one, and
+        // waiting would leave the router without the newest state.
         () = shared.replica.until_quorum_lost() => *shared.feed_available.borrow(),
     };
     if !feeds {
@@ -251,7 +252,7 @@
     shared.sessions.close_controller(connection);
     let lost = shared.routers().disconnect_relay(connection);
     for router in &lost {
-        reports::forget_router(router, shared);
+        reports::remove_router(router, shared);
     }
     emit(&ControllerRecord::ControllerLost {
         member: peer.0,
--- a/crates/coordinator/src/leader_loop.rs
+++ b/crates/coordinator/src/leader_loop.rs
@@ -436,8 +436,8 @@
 /// otherwise at [`ACCOUNTS_FEED_INTERVAL`].
 fn feed_limits(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
     let since = now.since(leadership.limits_sent_at);
-    let has_news = shared.limits().has_news() && since >= MIN_LIMITS_FEED_INTERVAL;
-    if !has_news && since < ACCOUNTS_FEED_INTERVAL {
+    let has_changes = shared.limits().has_news() && since >= MIN_LIMITS_FEED_INTERVAL;
+    if !has_changes && since < ACCOUNTS_FEED_INTERVAL {
         return;
     }
     shared.limits().take_news();
--- a/crates/coordinator/src/limits.rs
+++ b/crates/coordinator/src/limits.rs
@@ -67,13 +67,13 @@
     now: Timestamp,
     shared: &Shared,
 ) -> Vec<LimitAnswer> {
-    let granted = requests.iter().map(|request| {
+    let answers = requests.iter().map(|request| {
         note_limit(reporter, &request.word, now, shared);
         let verdict = shared.limits().ask(request, now);
         shared.metrics.limit_verdict(verdict);
         answer(request, verdict)
     });
-    granted.collect()
+    answers.collect()
 }
 
 fn answer(request: &LimitAsk, verdict: LimitVerdict) -> LimitAnswer {
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -74,7 +74,8 @@
         let leaving = std::slice::from_ref(instance);
         handle_leaving(&shared.settings.name, leaving, shared);
     }
-    // A limit in this reply is that of another instance, which answers at the address now.
+    // A misdirected request was answered by another instance at this address, whose limit does
+    // not apply to this one.
     if reply.status != StatusCode::MISDIRECTED_REQUEST
         && let NamedLimit::Rate(rate) = shared.interface.read_limit(&reply.headers)
     {
--- a/crates/coordinator/src/relay.rs
+++ b/crates/coordinator/src/relay.rs
@@ -33,7 +33,7 @@
     outbox: RegistrationOutbox,
     linked: bool,
     /// When the last link to the leader ended; the start of the process if there was none.
-    reached_at: Timestamp,
+    unlinked_at: Timestamp,
 }
 
 impl Relay {
@@ -57,7 +57,7 @@
     /// Time since the link to the leader ended; `None` while it is up.
     pub(crate) fn leader_unreachable_for(&self, now: Timestamp) -> Option<Millis> {
         let state = self.lock();
-        (!state.linked).then(|| now.since(state.reached_at))
+        (!state.linked).then(|| now.since(state.unlinked_at))
     }
 
     fn link(&self, now: Timestamp) {
@@ -71,7 +71,7 @@
         let mut state = self.lock();
         state.outbox.pause();
         if state.linked {
-            state.reached_at = now;
+            state.unlinked_at = now;
         }
         std::mem::take(&mut state.linked)
     }
--- a/crates/coordinator/src/reports.rs
+++ b/crates/coordinator/src/reports.rs
@@ -50,7 +50,7 @@
         }
         RouterNews::Lost => {
             if shared.routers().disconnect(&router, session) {
-                forget_router(&router, shared);
+                remove_router(&router, shared);
             }
             None
         }
@@ -61,7 +61,7 @@
 }
 
 /// Removes the use of a router that no longer subscribes.
-pub(crate) fn forget_router(router: &str, shared: &Shared) {
+pub(crate) fn remove_router(router: &str, shared: &Shared) {
     shared.engine().forget_router(router);
     shared.quotas().router_lost(router, shared.clock.now());
 }
--- a/crates/coordinator/src/upstream.rs
+++ b/crates/coordinator/src/upstream.rs
@@ -178,7 +178,8 @@
             shared.sessions.broadcast_to_routers(FeedMessage::Awaiting);
         }
         let problem = problem.as_ref().map(ToString::to_string);
-        // Connects to an unreachable leader are repeated; an unchanged problem is recorded once.
+        // Attempts to connect to an unreachable leader are repeated; an unchanged problem is
+        // recorded once.
         if linked || shared.upstream.is_new_problem(problem.as_deref()) {
             emit(&ControllerRecord::UpstreamEnded {
                 leader: &address.to_string(),
