--- /dev/null
+++ b/crates/coordinator/src/instance_persistence.rs
@@ -0,0 +1,62 @@
+//! Restores the instances that earlier leaders recorded in the log, and records instances for
+//! later leaders.
+//!
+//! Invariant: no step under a lock, and no log entry, grows with the size of the fleet.
+
+use crate::Shared;
+use courseshunt_services::InstanceView;
+use courseshunt_state::Command;
+use courseshunt_types::{RunnerId, Timestamp};
+use std::ops::Bound;
+
+/// Instances that are restored before the task yields; a batch takes some milliseconds.
+const RESTORE_BATCH_INSTANCES: usize = 256;
+/// Instances in one log entry: tens of kilobytes, which a follower applies between two
+/// heartbeats.
+const RECORD_BATCH_INSTANCES: usize = 256;
+
+/// Restores the recorded instances in batches. Between two batches the process serves its
+/// connections, and new commits can be applied to the state.
+pub(crate) async fn restore_instances(shared: &Shared, now: Timestamp) {
+    let mut after = None;
+    loop {
+        let batch = recorded_after(shared, after.as_ref());
+        let Some(last) = batch.last() else {
+            return;
+        };
+        after = Some(last.id.clone());
+        restore_batch(shared, &batch, now);
+        tokio::task::yield_now().await;
+    }
+}
+
+fn restore_batch(shared: &Shared, batch: &[InstanceView], now: Timestamp) {
+    let mut engine = shared.engine();
+    for view in batch {
+        engine.seed(view, now);
+    }
+}
+
+/// The next batch of recorded instances, in the order of their identifiers, after `after`.
+fn recorded_after(shared: &Shared, after: Option<&RunnerId>) -> Vec<InstanceView> {
+    let from = after.map_or(Bound::Unbounded, Bound::Excluded);
+    let state = shared.replica.state();
+    let recorded = state.services.instances.range((from, Bound::Unbounded));
+    let batch = recorded.map(|(_, view)| view.clone());
+    batch.take(RESTORE_BATCH_INSTANCES).collect()
+}
+
+/// Records changed and gone instances in the log, in batches.
+pub(crate) async fn record_all(changed: &[InstanceView], gone: &[RunnerId], shared: &Shared) {
+    let changed = changed.chunks(RECORD_BATCH_INSTANCES);
+    let changed = changed.map(|batch| (batch.to_vec(), Vec::new()));
+    let gone = gone.chunks(RECORD_BATCH_INSTANCES);
+    let gone = gone.map(|batch| (Vec::new(), batch.to_vec()));
+    for (changed, gone) in changed.chain(gone) {
+        let command = Command::RecordInstances { changed, gone };
+        if shared.replica.submit_as_leader(command).await.is_err() {
+            // Another member leads; it receives the instances' own registrations.
+            return;
+        }
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/sessions/previous_release.rs
@@ -0,0 +1,85 @@
+//! Messages to routers of the previous release that other routers do not receive: the list of
+//! live instances, and the removal of instances that report a rate limit.
+//!
+//! Invariant: for such a router an instance is gone as long as it reports a limit, since the
+//! previous release does not obey limits.
+
+use super::{Sessions, encode, instances};
+use courseshunt_services::fed_instances::InstanceChanges;
+use courseshunt_services::{FeedMessage, LimitWord};
+use courseshunt_types::RunnerId;
+use courseshunt_wire::Frame;
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+impl Sessions {
+    /// Updates the set of instances that report a limit from a feed message.
+    pub(super) fn update_limited_instances(&self, reports: &[LimitWord]) {
+        let limited = reports.iter().filter(|report| report.rate.is_some());
+        self.set_limited_instances(limited.map(|report| report.instance.clone()).collect());
+    }
+
+    /// Sets the instances that report a limit. Routers of the previous release are sent new ones
+    /// as gone, and those whose limit has ended as present again.
+    pub(super) fn set_limited_instances(&self, limited: BTreeSet<RunnerId>) {
+        let mut feed_state = self.feed_state();
+        let previous = std::mem::replace(&mut feed_state.limited, limited);
+        let unlimited = previous.difference(&feed_state.limited);
+        let unlimited = unlimited.filter_map(|id| feed_state.instances.get(id).cloned());
+        let changes = InstanceChanges {
+            changed: unlimited.collect(),
+            gone: feed_state.limited.difference(&previous).cloned().collect(),
+        };
+        drop(feed_state);
+        if !changes.is_empty()
+            && let Some(frame) = encode(instances(changes))
+        {
+            self.send_to_previous_release(&frame);
+        }
+    }
+
+    /// A message that removes the limited instances for which `is_included` holds; `None` if
+    /// there are none.
+    pub(super) fn hidden_instances_frame(
+        &self,
+        is_included: impl Fn(&RunnerId) -> bool,
+    ) -> Option<Arc<Frame>> {
+        let feed_state = self.feed_state();
+        let gone = feed_state.limited.iter().filter(|id| is_included(id));
+        let gone: Vec<RunnerId> = gone.cloned().collect();
+        drop(feed_state);
+        if gone.is_empty() {
+            return None;
+        }
+        encode(instances(InstanceChanges {
+            changed: Vec::new(),
+            gone,
+        }))
+    }
+
+    /// Sends a frame to the routers of the previous release.
+    pub(super) fn send_to_previous_release(&self, frame: &Arc<Frame>) {
+        self.subscribers().routers.retain(|_, session| {
+            !session.is_previous_release || session.queue.try_send(frame.clone()).is_ok()
+        });
+    }
+
+    /// The list of live instances without the limited ones, once the leadership is settled.
+    pub(super) fn live_instances(&self) -> Option<FeedMessage> {
+        let feed_state = self.feed_state();
+        let settled = feed_state.leadership.is_some_and(|one| one.settled);
+        settled.then(|| {
+            let present = feed_state.instances.ids();
+            let present = present.filter(|id| !feed_state.limited.contains(id));
+            FeedMessage::Live(present.cloned().collect())
+        })
+    }
+
+    /// Sends the list of live instances to the routers of the previous release.
+    pub(super) fn send_live_instances(&self) {
+        let Some(frame) = self.live_instances().and_then(encode) else {
+            return;
+        };
+        self.send_to_previous_release(&frame);
+    }
+}
