--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -8,7 +8,7 @@
 use courseshunt_controller::ProposeError;
 use courseshunt_http::{Body, full_body, read_limited, text_response};
 use courseshunt_records::emit;
-use courseshunt_services::{InstanceState, Registration, judge};
+use courseshunt_services::{InstanceState, Registration, validate};
 use courseshunt_state::{Command, CommandReply};
 use courseshunt_types::RunnerId;
 use courseshunt_wire::MAX_COMMAND_BYTES;
@@ -71,7 +71,7 @@
         Err(error) => return text_response(StatusCode::BAD_REQUEST, error.to_string()),
     };
     let configuration = shared.interface.read_configuration(&body);
-    let judged = configuration.and_then(|read| judge(&read).map(|()| read.number));
+    let judged = configuration.and_then(|read| validate(&read).map(|()| read.number));
     let number = match judged {
         Ok(number) => number,
         Err(error) => {
@@ -141,7 +141,7 @@
     };
     let id = registration.id.clone();
     shared.metrics.registration();
-    let leaving = registration.state == InstanceState::Leaving;
+    let leaving = registration.state == InstanceState::Draining;
     let taken = take_registration(registration, shared);
     if leaving {
         return record_leaving(&id, false, shared).await;
@@ -192,7 +192,7 @@
             out_of_reach_for: shared.relay.out_of_reach_for(now),
         });
     }
-    let leaving = registration.state == InstanceState::Leaving;
+    let leaving = registration.state == InstanceState::Draining;
     let mut engine = shared.engine();
     if leaving {
         engine.leave(&registration.id);
--- a/crates/coordinator/src/feed.rs
+++ b/crates/coordinator/src/feed.rs
@@ -9,7 +9,7 @@
 use crate::{Shared, accept, member_thread, places, relay, reports};
 use courseshunt_records::emit;
 use courseshunt_services::{
-    FeedMessage, InstanceDigests, RelayedReport, ReportMessage, RouterNews,
+    FeedMessage, InstanceDigests, RelayedReport, ReportMessage, RouterUpdate,
 };
 use courseshunt_types::{ControllerId, RunnerId};
 use courseshunt_wire::{Connection, Frame, Message, PeerIdentity, Receiver, Sender, WireError};
@@ -113,7 +113,7 @@
     tell(
         &router,
         number,
-        RouterNews::Follows { configuration },
+        RouterUpdate::Connected { configuration },
         shared,
     );
     emit(&ControllerRecord::RouterFollows {
@@ -129,16 +129,16 @@
     if shared.sessions.close_router(&router, number) {
         emit(&ControllerRecord::RouterLost { router: &router });
     }
-    tell(&router, number, RouterNews::Lost, shared);
+    tell(&router, number, RouterUpdate::Disconnected, shared);
     ended
 }
 
-fn tell(router: &str, session: u64, news: RouterNews, shared: &Shared) {
+fn tell(router: &str, session: u64, update: RouterUpdate, shared: &Shared) {
     let router = router.to_owned();
     let report = RelayedReport {
         router,
         session,
-        news,
+        update,
     };
     reports::take_local(report, shared);
 }
@@ -179,7 +179,7 @@
         if let Message::ServiceReport(ReportMessage::Compare(known)) = message {
             shared.sessions.compare(router, number, &known);
         } else if let Message::ServiceReport(report) = message {
-            tell(router, number, RouterNews::Reports(report), shared);
+            tell(router, number, RouterUpdate::Report(report), shared);
         }
     }
     Ok(())
--- a/crates/coordinator/src/join.rs
+++ b/crates/coordinator/src/join.rs
@@ -55,23 +55,23 @@
     let known: BTreeSet<SocketAddr> = shared.addresses.all().into_values().collect();
     let known: Vec<SocketAddr> = known.into_iter().chain(shared.seeds.addresses()).collect();
     let view = JoinerView {
-        own: shared.settings.wire_address(),
+        own_address: shared.settings.wire_address(),
         leader_known,
         is_member: !view.membership.voters.is_empty(),
-        known: &known,
+        known_addresses: &known,
     };
     joiner.due(view, shared.clock.now())
 }
 
 fn pause(shared: &Shared, joiner: &Joiner) -> Duration {
     let now = shared.clock.now();
-    let next = joiner.next_at().map(|at| Duration::from(at.since(now)));
+    let next = joiner.next_due_at().map(|at| Duration::from(at.since(now)));
     next.map_or(LOOK_INTERVAL, |next| next.clamp(LEAST_PAUSE, LOOK_INTERVAL))
 }
 
 /// Records who was asked and what was answered, when that has changed.
 fn tell(joiner: &Joiner, told: &mut Vec<AskedMember>) {
-    let answers = joiner.answers();
+    let answers = joiner.outcomes();
     let asked: Vec<AskedMember> = answers.map(AskedMember::from).collect();
     if asked == *told {
         return;
@@ -85,8 +85,8 @@
 fn take(shared: &Shared, joiner: &mut Joiner, (address, reply): Answered) {
     let now = shared.clock.now();
     match reply {
-        Some(reply) => joiner.answered(address, &reply, now),
-        None => joiner.unanswered(address, now),
+        Some(reply) => joiner.reply_received(address, &reply, now),
+        None => joiner.no_reply(address, now),
     }
 }
 
--- a/crates/coordinator/src/lead.rs
+++ b/crates/coordinator/src/lead.rs
@@ -177,7 +177,9 @@
         leader: leader.as_deref(),
     });
     shared.sessions.clear_controllers();
-    shared.sessions.broadcast_to_routers(FeedMessage::Awaiting);
+    shared
+        .sessions
+        .broadcast_to_routers(FeedMessage::AwaitingLeader);
     shared.routers().clear();
     shared.applicants().clear();
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -45,7 +45,7 @@
 use courseshunt_controller::peers::{AddressBook, PeerNetwork};
 use courseshunt_controller::replica::{self, ReplicaHandle, ReplicaSettings};
 use courseshunt_http::{HttpClient, ServerLimits};
-use courseshunt_membership::{Applicants, Redundancy, core_settings};
+use courseshunt_membership::{JoinRequests, Redundancy, core_settings};
 use courseshunt_records::emit;
 use courseshunt_services::{
     FeedMessage, LimitLedger, PlacementEngine, PlacementSettings, QuarantineLedger, QuotaLedger,
@@ -103,7 +103,7 @@
     /// told as a leader's word, and reports are left out, since routers tell a new leader all.
     pub(crate) leading: watch::Sender<bool>,
     /// Processes that want to join, while this member leads.
-    pub(crate) applicants: Mutex<Applicants>,
+    pub(crate) applicants: Mutex<JoinRequests>,
     /// Processes that asked here to join, with whether they were noted.
     asked_to_join: Mutex<BTreeMap<ControllerId, bool>>,
     /// How many losses the group can bear; known while this member leads.
@@ -147,19 +147,19 @@
         let mut quotas = self.quotas();
         quotas.has_accounts().then(|| FeedMessage::Quotas {
             epoch: quotas.epoch(),
-            standings: quotas.standings(now),
+            account_statuses: quotas.standings(now),
         })
     }
 
     /// Notes at the leader that a process wants to join.
     pub(crate) fn note_applicant(&self, member: ControllerId, address: SocketAddr) {
         let now = self.clock.now();
-        if self.applicants().note(member, address, now) {
+        if self.applicants().record(member, address, now) {
             self.wake.notify_one();
         }
     }
 
-    pub(crate) fn applicants(&self) -> MutexGuard<'_, Applicants> {
+    pub(crate) fn applicants(&self) -> MutexGuard<'_, JoinRequests> {
         let applicants = self.applicants.lock();
         applicants.unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -7,7 +7,9 @@
 use crate::records::ControllerRecord;
 use crate::{Shared, places};
 use courseshunt_consensus::{MembersView, MembershipChange};
-use courseshunt_membership::{GroupView, Redundancy, RedundancyWatch, decide, next_to_record};
+use courseshunt_membership::{
+    GroupView, Redundancy, RedundancyTracker, next_address_to_record, next_change,
+};
 use courseshunt_records::emit;
 use courseshunt_state::Command;
 use courseshunt_types::{ControllerId, Millis, Timestamp};
@@ -24,7 +26,7 @@
 pub(crate) struct MembersKeeper {
     led_since: Timestamp,
     looked_at: Timestamp,
-    redundancy: RedundancyWatch,
+    redundancy: RedundancyTracker,
     /// A change is under way.
     changing: Arc<AtomicBool>,
 }
@@ -35,7 +37,7 @@
         Self {
             led_since: now,
             looked_at: now,
-            redundancy: RedundancyWatch::default(),
+            redundancy: RedundancyTracker::default(),
             changing: Arc::default(),
         }
     }
@@ -63,7 +65,7 @@
             joining: &joining,
             led_for: now.since(self.led_since),
         };
-        let change = decide(&view);
+        let change = next_change(&view);
         let unrecorded = unrecorded(shared, &members, &addresses);
         if change.is_none() && unrecorded.is_none() {
             return;
@@ -112,9 +114,9 @@
     let mut applicants = shared.applicants();
     for (stranger, address) in shared.addresses.strangers() {
         shared.addresses.set(stranger, address);
-        applicants.note(stranger, address, now);
+        applicants.record(stranger, address, now);
     }
-    applicants.present(&members.membership.all(), now)
+    applicants.pending(&members.membership.all(), now)
 }
 
 /// A member whose address the replicated state lacks.
@@ -126,7 +128,7 @@
     let state = shared.replica.state();
     let recorded = state.members.iter();
     let recorded = recorded.filter_map(|(id, address)| Some((*id, address.parse().ok()?)));
-    next_to_record(&members.membership.all(), &recorded.collect(), known)
+    next_address_to_record(&members.membership.all(), &recorded.collect(), known)
 }
 
 /// Has every member know where this one is.
--- a/crates/coordinator/src/places.rs
+++ b/crates/coordinator/src/places.rs
@@ -4,7 +4,7 @@
 //! Source: the leader is told by each controller that follows it, and tells all.
 
 use crate::{Shared, join};
-use courseshunt_services::{FeedMessage, MemberPlace};
+use courseshunt_services::{FeedMessage, MemberLocation};
 use courseshunt_types::Zone;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     }
 
     /// Takes over what the leader tells.
-    pub(crate) fn follow(&self, members: &[MemberPlace]) {
+    pub(crate) fn follow(&self, members: &[MemberLocation]) {
         for member in members {
             if let (Ok(address), Some(zone)) = (member.address.parse(), &member.zone) {
                 self.note(address, zone);
@@ -40,7 +40,7 @@
 pub(crate) async fn told(shared: &Shared) -> FeedMessage {
     let members = join::members(shared).await;
     let zones = shared.places.zones();
-    let members = members.into_iter().map(|(_, address)| MemberPlace {
+    let members = members.into_iter().map(|(_, address)| MemberLocation {
         address: address.to_string(),
         zone: zones.get(&address).cloned(),
     });
--- a/crates/coordinator/src/records.rs
+++ b/crates/coordinator/src/records.rs
@@ -1,7 +1,7 @@
 //! What a controller records: one line for each decision, and for each change
 //! of what it believes.
 
-use courseshunt_membership::JoinAnswer;
+use courseshunt_membership::JoinOutcome;
 use courseshunt_records::Record;
 use courseshunt_services::PlacementEvent;
 use courseshunt_types::ModelName;
@@ -208,14 +208,14 @@
     pub(crate) answer: &'static str,
 }
 
-impl From<(SocketAddr, JoinAnswer)> for AskedMember {
-    fn from((address, answer): (SocketAddr, JoinAnswer)) -> Self {
+impl From<(SocketAddr, JoinOutcome)> for AskedMember {
+    fn from((address, answer): (SocketAddr, JoinOutcome)) -> Self {
         Self {
             address: address.to_string(),
             answer: match answer {
-                JoinAnswer::Leads => "leads",
-                JoinAnswer::Follows => "follows",
-                JoinAnswer::NoAnswer => "no_answer",
+                JoinOutcome::Leads => "leads",
+                JoinOutcome::Follows => "follows",
+                JoinOutcome::NoReply => "no_answer",
             },
         }
     }
--- a/crates/coordinator/src/reports.rs
+++ b/crates/coordinator/src/reports.rs
@@ -10,7 +10,7 @@
 use courseshunt_records::emit;
 use courseshunt_services::{
     FeedMessage, InstanceUsage, ModelDemand, QuotaAnswer, QuotaAsk, QuotaVerdict, RelayedReport,
-    ReportMessage, RouterNews,
+    ReportMessage, RouterUpdate,
 };
 use courseshunt_types::RunnerId;
 
@@ -31,25 +31,25 @@
     let RelayedReport {
         router,
         session,
-        news,
+        update,
     } = report;
-    match news {
-        RouterNews::Follows { configuration } => {
+    match update {
+        RouterUpdate::Connected { configuration } => {
             shared
                 .routers()
                 .follows(&router, session, way, configuration);
             shared.quotas().router_heard(&router);
             None
         }
-        RouterNews::Lost => {
+        RouterUpdate::Disconnected => {
             if shared.routers().lost(&router, session) {
                 forget(&router, shared);
             }
             None
         }
         // The router follows by another connection since.
-        RouterNews::Reports(_) if !shared.routers().is_present(&router, session) => None,
-        RouterNews::Reports(report) => take_report(&router, report, shared),
+        RouterUpdate::Report(_) if !shared.routers().is_present(&router, session) => None,
+        RouterUpdate::Report(report) => take_report(&router, report, shared),
     }
 }
 
@@ -78,10 +78,13 @@
                 shared.wake.notify_one();
             }
         }
-        ReportMessage::AskQuotas(questions) => {
+        ReportMessage::QuotaQueries(questions) => {
             return Some(answer_quotas(router, &questions, shared));
         }
-        ReportMessage::Limits { words, asks } => {
+        ReportMessage::Limits {
+            reports: words,
+            queries: asks,
+        } => {
             return limits::take(router, &words, &asks, shared);
         }
         ReportMessage::Ends { ends, answered } => quarantine::take(&ends, answered, shared),
--- a/crates/coordinator/src/sessions/earlier.rs
+++ b/crates/coordinator/src/sessions/earlier.rs
@@ -5,7 +5,7 @@
 //! does.
 
 use super::{Sessions, encode, instances};
-use courseshunt_services::fed_instances::InstanceChanges;
+use courseshunt_services::instance_directory::InstanceChanges;
 use courseshunt_services::{FeedMessage, LimitWord};
 use courseshunt_types::RunnerId;
 use courseshunt_wire::Frame;
@@ -67,7 +67,7 @@
         settled.then(|| {
             let there = fed.instances.ids();
             let there = there.filter(|id| !fed.limited.contains(id));
-            FeedMessage::Live(there.cloned().collect())
+            FeedMessage::LiveInstances(there.cloned().collect())
         })
     }
 
--- a/crates/coordinator/src/sessions/mod.rs
+++ b/crates/coordinator/src/sessions/mod.rs
@@ -1,7 +1,7 @@
 //! What follows this controller's feed, routers and, while it leads, other controllers;
 //! and what each of them has been sent.
 //!
-//! Invariant: a follower holds what [`FedInstances`] holds here, or has it in its queue. A
+//! Invariant: a follower holds what [`InstanceDirectory`] holds here, or has it in its queue. A
 //! message for all is encoded once; a follower whose queue is full is cut off, and asks
 //! again.
 
@@ -9,8 +9,8 @@
 
 use crate::configuration_feed::ConfigurationFeed;
 use courseshunt_services::digest::bucket_of;
-use courseshunt_services::fed_instances::InstanceChanges;
-use courseshunt_services::{FedInstances, FeedMessage, InstanceDigests, InstanceView};
+use courseshunt_services::instance_directory::InstanceChanges;
+use courseshunt_services::{FeedMessage, InstanceDigests, InstanceDirectory, InstanceView};
 use courseshunt_types::RunnerId;
 use courseshunt_wire::{Frame, Message};
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,7 +44,7 @@
 /// What a new follower is sent.
 #[derive(Debug, Default)]
 struct Fed {
-    instances: FedInstances,
+    instances: InstanceDirectory,
     /// Parts of the instances as they were encoded since their last change.
     parts: BTreeMap<usize, Arc<Frame>>,
     leadership: Option<Leadership>,
@@ -213,7 +213,7 @@
         let gone = fed.instances.keep(&live);
         fed.parts.clear();
         drop(fed);
-        self.broadcast_to_controllers(FeedMessage::Live(live));
+        self.broadcast_to_controllers(FeedMessage::LiveInstances(live));
         self.tell_routers(InstanceChanges {
             changed: Vec::new(),
             gone,
@@ -266,7 +266,7 @@
     pub(crate) fn take_part(&self, part: u32, instances: Vec<InstanceView>, complete: bool) {
         let part = usize::try_from(part).unwrap_or(usize::MAX);
         let mut fed = self.fed();
-        let news = fed.instances.set_part(part, instances, complete);
+        let news = fed.instances.set_bucket(part, instances, complete);
         fed.parts.remove(&part);
         drop(fed);
         self.tell_routers(news);
@@ -417,7 +417,7 @@
 
     /// The parts in which a follower with these digests differs.
     fn differing(&mut self, known: &InstanceDigests) -> Vec<Arc<Frame>> {
-        let differing: Vec<usize> = self.instances.digests().differing(known).collect();
+        let differing: Vec<usize> = self.instances.digests().differing_buckets(known).collect();
         let parts = differing.into_iter();
         parts.filter_map(|part| self.part(part)).collect()
     }
@@ -426,9 +426,9 @@
         if let Some(frame) = self.parts.get(&part) {
             return Some(frame.clone());
         }
-        let frame = encode(FeedMessage::Part {
-            part: u32::try_from(part).unwrap_or(u32::MAX),
-            instances: self.instances.part(part).cloned().collect(),
+        let frame = encode(FeedMessage::Bucket {
+            bucket: u32::try_from(part).unwrap_or(u32::MAX),
+            instances: self.instances.bucket(part).cloned().collect(),
             complete: self.leadership.is_some_and(|one| one.settled),
         })?;
         self.parts.insert(part, frame.clone());
--- a/crates/coordinator/src/upstream.rs
+++ b/crates/coordinator/src/upstream.rs
@@ -11,7 +11,7 @@
 use crate::records::ControllerRecord;
 use crate::sessions::Leadership;
 use courseshunt_records::emit;
-use courseshunt_services::{FeedMessage, RelayedReport, ReportMessage, RouterNews};
+use courseshunt_services::{FeedMessage, RelayedReport, ReportMessage, RouterUpdate};
 use courseshunt_types::Zone;
 use courseshunt_wire::{Connection, Message, Receiver, Sender, WireError};
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
         if !waiting.linked {
             return;
         }
-        waiting.urgent |= is_urgent(&report.news);
+        waiting.urgent |= is_urgent(&report.update);
         if waiting.reports.len() >= MOST_WAITING {
             waiting.reports.drain(..BATCH);
         }
@@ -151,15 +151,19 @@
 }
 
 /// Whether somebody waits for what a report brings about.
-fn is_urgent(news: &RouterNews) -> bool {
-    match news {
-        RouterNews::Reports(ReportMessage::Usage {
+fn is_urgent(update: &RouterUpdate) -> bool {
+    match update {
+        RouterUpdate::Report(ReportMessage::Usage {
             demand, leaving, ..
         }) => !leaving.is_empty() || demand.iter().any(|one| one.waiting > 0),
-        RouterNews::Reports(
-            ReportMessage::AskQuotas(_) | ReportMessage::Ends { .. } | ReportMessage::Limits { .. },
+        RouterUpdate::Report(
+            ReportMessage::QuotaQueries(_)
+            | ReportMessage::Ends { .. }
+            | ReportMessage::Limits { .. },
         ) => true,
-        RouterNews::Reports(_) | RouterNews::Follows { .. } | RouterNews::Lost => false,
+        RouterUpdate::Report(_) | RouterUpdate::Connected { .. } | RouterUpdate::Disconnected => {
+            false
+        }
     }
 }
 
@@ -169,7 +173,9 @@
         shared.upstream.set_leader_is_earlier(false);
         let linked = shared.upstream.unlink();
         if !shared.replica.leads() && shared.feeding.send_replace(false) {
-            shared.sessions.broadcast_to_routers(FeedMessage::Awaiting);
+            shared
+                .sessions
+                .broadcast_to_routers(FeedMessage::AwaitingLeader);
         }
         let problem = problem.as_ref().map(ToString::to_string);
         // A leader that is down is dialled over and over; it is told once.
@@ -257,12 +263,12 @@
             shared.upstream.link(all_routers(shared));
             emit(&ControllerRecord::UpstreamBegan { term });
         }
-        FeedMessage::Part {
-            part,
+        FeedMessage::Bucket {
+            bucket,
             instances,
             complete,
-        } => sessions.take_part(part, instances, complete),
-        FeedMessage::Live(live) => sessions.settle(live),
+        } => sessions.take_part(bucket, instances, complete),
+        FeedMessage::LiveInstances(live) => sessions.settle(live),
         FeedMessage::Instances { changed, gone } => sessions.send_instances(changed, gone),
         FeedMessage::Usage { .. } => {
             sessions.broadcast_to_routers(message);
@@ -279,7 +285,7 @@
             sessions.broadcast_to_routers(message);
         }
         FeedMessage::NoFeed { .. }
-        | FeedMessage::Awaiting
+        | FeedMessage::AwaitingLeader
         | FeedMessage::Configuration { .. }
         | FeedMessage::Digests(_)
         | FeedMessage::QuotaAnswers(_)
@@ -291,11 +297,11 @@
 pub(crate) fn all_routers(shared: &Shared) -> Vec<RelayedReport> {
     let routers = shared.sessions.routers().into_iter();
     // What is in force there they say themselves with their next reports.
-    let follows = RouterNews::Follows { configuration: 0 };
+    let follows = RouterUpdate::Connected { configuration: 0 };
     let routers = routers.map(|(router, session)| RelayedReport {
         router,
         session,
-        news: follows.clone(),
+        update: follows.clone(),
     });
     routers.collect()
 }
@@ -318,7 +324,9 @@
         {
             let_go(&shared, cut_off);
         } else {
-            shared.sessions.broadcast_to_routers(FeedMessage::Awaiting);
+            shared
+                .sessions
+                .broadcast_to_routers(FeedMessage::AwaitingLeader);
         }
     }
 }
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -241,7 +241,7 @@
         }),
         CarriedKey::None | CarriedKey::Unreadable => None,
     };
-    if route.public || !tenants.is_needed() {
+    if route.public || !tenants.requires_key() {
         return Ok(found);
     }
     let trust = shared.settings.limits.key_trust_ms;
@@ -293,7 +293,7 @@
     let table = shared.view.table();
     table.is_none_or(|table| {
         let tenants = table.tenants();
-        !tenants.is_needed() || tenants.find(&caller.key).is_some()
+        !tenants.requires_key() || tenants.find(&caller.key).is_some()
     })
 }
 
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -4,7 +4,7 @@
 use crate::records::RouterRecord;
 use crate::search::{FeedEnd, Search, next_look};
 use courseshunt_records::emit;
-use courseshunt_services::{FeedMessage, LimitWord, ReportMessage, RouteTable, judge};
+use courseshunt_services::{FeedMessage, LimitWord, ReportMessage, RouteTable, validate};
 use courseshunt_types::{Incarnation, RouterId, RunnerId};
 use courseshunt_wire::{
     ClusterKey, Connection, EARLIER_VERSION, Message, PeerIdentity, Receiver, Sender, WireError,
@@ -168,7 +168,7 @@
 fn is_leaders(message: &FeedMessage) -> bool {
     !matches!(
         message,
-        FeedMessage::NoFeed { .. } | FeedMessage::Awaiting | FeedMessage::Members(_)
+        FeedMessage::NoFeed { .. } | FeedMessage::AwaitingLeader | FeedMessage::Members(_)
     )
 }
 
@@ -188,29 +188,29 @@
             shared.quarantine.begin_leader();
             shared.limits.begin_leader();
         }
-        FeedMessage::Awaiting => {
+        FeedMessage::AwaitingLeader => {
             shared.quotas.disconnected();
             shared.limits.disconnected();
         }
-        FeedMessage::Part {
-            part,
+        FeedMessage::Bucket {
+            bucket,
             instances,
             complete,
         } => {
-            let lost = shared.view.set_part(part, instances, complete);
+            let lost = shared.view.set_part(bucket, instances, complete);
             forget(lost, shared);
         }
         FeedMessage::Instances { changed, gone } => {
             let lost = shared.view.set_instances(changed, gone);
             forget(lost, shared);
         }
-        FeedMessage::Live(live) => {
+        FeedMessage::LiveInstances(live) => {
             let lost = shared.view.keep_instances(&live);
             forget(lost, shared);
         }
         FeedMessage::Digests(digests) => {
             let own = shared.view.digests();
-            let parts = digests.differing(&own).count();
+            let parts = digests.differing_buckets(&own).count();
             if parts > 0 {
                 emit(&RouterRecord::InstancesDiffer { parts });
                 shared.view.differs.notify_one();
@@ -227,7 +227,10 @@
             shared.view.set_usage(routers, &instances, now);
             shared.pool.tidy();
         }
-        FeedMessage::Quotas { epoch, standings } => {
+        FeedMessage::Quotas {
+            epoch,
+            account_statuses: standings,
+        } => {
             let now = shared.clock.now();
             shared.quotas.set_standings(epoch, standings, now);
         }
@@ -272,7 +275,7 @@
 
 fn configure(number: u64, document: Vec<u8>, shared: &Shared) {
     let read = shared.interface.read_configuration(&document);
-    let judged = read.and_then(|read| judge(&read).map(|()| read));
+    let judged = read.and_then(|read| validate(&read).map(|()| read));
     match judged {
         Ok(configuration) => {
             let table = RouteTable::new(configuration);
@@ -328,7 +331,7 @@
     if questions.is_empty() {
         return Ok(());
     }
-    let report = ReportMessage::AskQuotas(questions);
+    let report = ReportMessage::QuotaQueries(questions);
     sender.send(&Message::ServiceReport(report)).await
 }
 
@@ -339,7 +342,10 @@
     if words.is_empty() && asks.is_empty() {
         return Ok(());
     }
-    let report = ReportMessage::Limits { words, asks };
+    let report = ReportMessage::Limits {
+        reports: words,
+        queries: asks,
+    };
     sender.send(&Message::ServiceReport(report)).await
 }
 
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -9,7 +9,7 @@
 use crate::records::RouterRecord;
 use crate::seeking::SeekingPace;
 use courseshunt_records::emit;
-use courseshunt_services::MemberPlace;
+use courseshunt_services::MemberLocation;
 use courseshunt_types::Zone;
 use courseshunt_wire::{DialLimit, WireError};
 use std::net::SocketAddr;
@@ -172,7 +172,7 @@
     }
 
     /// Takes the members over that a controller tells of.
-    pub(crate) fn set_members(&mut self, members: Vec<MemberPlace>) {
+    pub(crate) fn set_members(&mut self, members: Vec<MemberLocation>) {
         let members = members.into_iter().filter_map(|one| {
             Some(KnownMember {
                 address: one.address.parse().ok()?,
--- a/crates/gateway/src/view/mod.rs
+++ b/crates/gateway/src/view/mod.rs
@@ -2,12 +2,12 @@
 
 use crate::demand::{DemandBook, DemandKey};
 use crate::held_document::HeldDocument;
-use courseshunt_services::fed_instances::InstanceChanges;
 use courseshunt_services::feed::{InstanceUsage, usage_interval, usage_lag};
+use courseshunt_services::instance_directory::InstanceChanges;
 use courseshunt_services::{
-    Candidate, FedInstances, InstanceDigests, InstanceView, LimitNews, LimitStep, LimitVerdict,
-    LimitWord, PromptShape, Pushback, ReportMessage, RequestRate, RetryBudget, RouteTable,
-    Selector, Service,
+    Candidate, InstanceDigests, InstanceDirectory, InstanceView, LimitNews, LimitStep,
+    LimitVerdict, LimitWord, PromptShape, Pushback, ReportMessage, RequestRate, RetryBudget,
+    RouteTable, Selector, Service,
 };
 use courseshunt_settings::service::ServiceSettings;
 use courseshunt_types::time::MonotonicClock;
@@ -59,7 +59,7 @@
             table: None,
             document: HeldDocument::default(),
             behind_since: None,
-            instances: FedInstances::default(),
+            instances: InstanceDirectory::default(),
             loading: BTreeMap::new(),
             selector,
             demand: DemandBook::default(),
@@ -195,7 +195,7 @@
     ) -> Vec<RunnerId> {
         let part = usize::try_from(part).unwrap_or(usize::MAX);
         let mut state = self.lock();
-        let changes = state.instances.set_part(part, instances, complete);
+        let changes = state.instances.set_bucket(part, instances, complete);
         state.follow(&changes);
         drop(state);
         self.changed();
@@ -261,7 +261,7 @@
         service: &Service,
         shape: &PromptShape,
         now: Timestamp,
-        choose: impl FnOnce(&mut Selector, &FedInstances, u32) -> Option<Candidate>,
+        choose: impl FnOnce(&mut Selector, &InstanceDirectory, u32) -> Option<Candidate>,
     ) -> Option<(Candidate, InstanceView)> {
         let mut state = self.lock();
         let own_limit = state.own_limit(service);
@@ -427,7 +427,7 @@
         let budget = budgets
             .entry(service.to_owned())
             .or_insert_with(|| RetryBudget::new(ratio, slack, window).seeded(rand::random()));
-        budget.request(now);
+        budget.record_request(now);
         state.demand.arrived(service, shape, objective);
     }
 
--- a/crates/gateway/src/view/state.rs
+++ b/crates/gateway/src/view/state.rs
@@ -2,10 +2,10 @@
 
 use crate::demand::DemandBook;
 use crate::held_document::HeldDocument;
-use courseshunt_services::fed_instances::InstanceChanges;
+use courseshunt_services::instance_directory::InstanceChanges;
 use courseshunt_services::{
-    Candidate, FedInstances, InstanceState, InstanceView, PromptShape, Pushback, ReportMessage,
-    RetryBudget, RouteTable, Selector, Service,
+    Candidate, InstanceDirectory, InstanceState, InstanceView, PromptShape, Pushback,
+    ReportMessage, RetryBudget, RouteTable, Selector, Service,
 };
 use courseshunt_types::{RunnerId, Timestamp};
 use std::collections::{BTreeMap, HashMap};
@@ -60,7 +60,7 @@
     pub(super) document: HeldDocument,
     /// A newer configuration is in force elsewhere since then.
     pub(super) behind_since: Option<Timestamp>,
-    pub(super) instances: FedInstances,
+    pub(super) instances: InstanceDirectory,
     /// When models that are being loaded will be there.
     pub(super) loading: BTreeMap<RunnerId, Vec<(String, Instant)>>,
     pub(super) selector: Selector,
--- a/crates/membership/src/applicants.rs
+++ b/crates/membership/src/join_requests.rs
@@ -9,7 +9,7 @@
 
 /// An applicant that was not heard of for so long is dropped; it asks far more often.
 const LIFETIME: Millis = Millis(3_000);
-/// Applicants that are kept at the most.
+/// JoinRequests that are kept at the most.
 const MOST: usize = 64;
 
 #[derive(Debug, Clone, Copy)]
@@ -20,13 +20,13 @@
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct Applicants {
+pub struct JoinRequests {
     known: BTreeMap<ControllerId, Applicant>,
 }
 
-impl Applicants {
+impl JoinRequests {
     /// Notes that `member`, found at `address`, wants to join; returns whether that is new.
-    pub fn note(&mut self, member: ControllerId, address: SocketAddr, now: Timestamp) -> bool {
+    pub fn record(&mut self, member: ControllerId, address: SocketAddr, now: Timestamp) -> bool {
         if self.known.len() >= MOST && !self.known.contains_key(&member) {
             return false;
         }
@@ -36,7 +36,7 @@
     }
 
     /// Those that are not members yet, with their addresses.
-    pub fn present(
+    pub fn pending(
         &mut self,
         members: &BTreeSet<ControllerId>,
         now: Timestamp,
--- a/crates/membership/src/joiner.rs
+++ b/crates/membership/src/joiner.rs
@@ -24,23 +24,23 @@
 
 /// What becomes of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum JoinWay {
+pub enum JoinStrategy {
     /// The addresses that it names are asked too.
     #[default]
-    FollowAnswers,
+    FollowReplies,
     /// Only its sender is asked again; for comparisons in virtual time.
-    SeedsAlone,
+    SeedsOnly,
 }
 
 /// What one that was asked has last told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum JoinAnswer {
+pub enum JoinOutcome {
     /// It leads and takes this process in.
     Leads,
     /// It does not lead.
     Follows,
     /// Nothing in time, or no connection.
-    NoAnswer,
+    NoReply,
 }
 
 /// An answer to the wish to join.
@@ -58,13 +58,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct JoinerView<'a> {
     /// This process's own address.
-    pub own: SocketAddr,
+    pub own_address: SocketAddr,
     /// A leader is known, so that nobody has to be asked.
     pub leader_known: bool,
     /// This process's log names members, so that an election may be about to end.
     pub is_member: bool,
     /// Addresses known otherwise: seeds, members, processes that connected here.
-    pub known: &'a [SocketAddr],
+    pub known_addresses: &'a [SocketAddr],
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -74,7 +74,7 @@
     /// Not to be asked earlier.
     ask_at: Timestamp,
     failures: u32,
-    answer: Option<JoinAnswer>,
+    answer: Option<JoinOutcome>,
     /// Somebody said that it leads.
     named: bool,
 }
@@ -82,7 +82,7 @@
 /// See the module.
 #[derive(Debug, Default)]
 pub struct Joiner {
-    way: JoinWay,
+    way: JoinStrategy,
     candidates: BTreeMap<SocketAddr, Candidate>,
     leaderless_since: Option<Timestamp>,
     trusted_until: Timestamp,
@@ -91,7 +91,7 @@
 impl Joiner {
     /// A joiner that treats answers so.
     #[must_use]
-    pub fn by(way: JoinWay) -> Self {
+    pub fn with_strategy(way: JoinStrategy) -> Self {
         Self {
             way,
             ..Self::default()
@@ -109,10 +109,10 @@
         if view.is_member && now.since(since) < MEMBER_PATIENCE {
             return Vec::new();
         }
-        for address in view.known {
+        for address in view.known_addresses {
             self.learn(*address);
         }
-        self.candidates.remove(&view.own);
+        self.candidates.remove(&view.own_address);
         let open = self.candidates.values().filter(|one| one.open).count();
         let mut due: Vec<SocketAddr> = self.askable(now).collect();
         due.sort_by_key(|address| self.rank(*address));
@@ -128,7 +128,7 @@
 
     /// When somebody is to be asked next, unless an answer comes before.
     #[must_use]
-    pub fn next_at(&self) -> Option<Timestamp> {
+    pub fn next_due_at(&self) -> Option<Timestamp> {
         let idle = self.candidates.values().filter(|one| !one.open);
         idle.map(|one| one.ask_at).min()
     }
@@ -137,7 +137,7 @@
         let trusts = now < self.trusted_until;
         let idle = self.candidates.iter();
         let idle = idle.filter(move |(_, one)| !one.open && one.ask_at <= now);
-        let wanted = idle.filter(move |(_, one)| !trusts || one.answer == Some(JoinAnswer::Leads));
+        let wanted = idle.filter(move |(_, one)| !trusts || one.answer == Some(JoinOutcome::Leads));
         wanted.map(|(address, _)| *address)
     }
 
@@ -149,20 +149,20 @@
     }
 
     /// Takes an answer in.
-    pub fn answered(&mut self, address: SocketAddr, reply: &JoinReply, now: Timestamp) {
+    pub fn reply_received(&mut self, address: SocketAddr, reply: &JoinReply, now: Timestamp) {
         let candidate = self.candidates.entry(address).or_default();
         candidate.open = false;
         candidate.failures = 0;
         candidate.named = reply.leads;
         candidate.ask_at = now + ASK_AGAIN;
         candidate.answer = Some(match reply.leads {
-            true => JoinAnswer::Leads,
-            false => JoinAnswer::Follows,
+            true => JoinOutcome::Leads,
+            false => JoinOutcome::Follows,
         });
         if reply.leads {
             self.trusted_until = now + TRUST_LEADER;
         }
-        if self.way == JoinWay::SeedsAlone {
+        if self.way == JoinStrategy::SeedsOnly {
             return;
         }
         for member in &reply.members {
@@ -184,14 +184,14 @@
     }
 
     /// Notes that an address did not answer.
-    pub fn unanswered(&mut self, address: SocketAddr, now: Timestamp) {
+    pub fn no_reply(&mut self, address: SocketAddr, now: Timestamp) {
         let candidate = self.candidates.entry(address).or_default();
         candidate.open = false;
         candidate.named = false;
         candidate.failures += 1;
         let pause = Millis(ASK_AGAIN.0 << candidate.failures.min(4));
         candidate.ask_at = now + pause.min(LONGEST_PAUSE);
-        candidate.answer = Some(JoinAnswer::NoAnswer);
+        candidate.answer = Some(JoinOutcome::NoReply);
     }
 
     fn learn(&mut self, address: SocketAddr) {
@@ -207,7 +207,7 @@
     }
 
     /// Who has been asked, with the last answers.
-    pub fn answers(&self) -> impl Iterator<Item = (SocketAddr, JoinAnswer)> + '_ {
+    pub fn outcomes(&self) -> impl Iterator<Item = (SocketAddr, JoinOutcome)> + '_ {
         let candidates = self.candidates.iter();
         candidates.filter_map(|(address, one)| Some((*address, one.answer?)))
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -6,14 +6,14 @@
 //! lives at a member's address, becomes a member; the number of voters never falls by a
 //! repair.
 
-mod applicants;
+mod join_requests;
 mod joiner;
 mod redundancy;
 mod repair;
 mod settings;
 
-pub use applicants::Applicants;
-pub use joiner::{JoinAnswer, JoinReply, JoinWay, Joiner, JoinerView};
-pub use redundancy::{Redundancy, RedundancyWatch};
-pub use repair::{GroupView, decide, next_to_record};
+pub use join_requests::JoinRequests;
+pub use joiner::{JoinOutcome, JoinReply, JoinStrategy, Joiner, JoinerView};
+pub use redundancy::{Redundancy, RedundancyTracker};
+pub use repair::{GroupView, next_address_to_record, next_change};
 pub use settings::core_settings;
--- a/crates/membership/src/redundancy.rs
+++ b/crates/membership/src/redundancy.rs
@@ -54,12 +54,12 @@
 
 /// Follows the redundancy over one leadership.
 #[derive(Debug, Default)]
-pub struct RedundancyWatch {
+pub struct RedundancyTracker {
     last: Option<Redundancy>,
     below_full_since: Option<Timestamp>,
 }
 
-impl RedundancyWatch {
+impl RedundancyTracker {
     /// Takes the present state in; returns whether it differs from the last one.
     pub fn update(&mut self, present: Redundancy, now: Timestamp) -> bool {
         match present.is_full() {
--- a/crates/membership/src/repair.rs
+++ b/crates/membership/src/repair.rs
@@ -72,7 +72,7 @@
 
 /// The next change, if one is due.
 #[must_use]
-pub fn decide(view: &GroupView<'_>) -> Option<MembershipChange> {
+pub fn next_change(view: &GroupView<'_>) -> Option<MembershipChange> {
     if !view.members.settled {
         return None;
     }
@@ -97,7 +97,7 @@
 /// knows. Without it a later leader may not know where that member is, and finds neither
 /// it nor a process that comes in its place.
 #[must_use]
-pub fn next_to_record(
+pub fn next_address_to_record(
     members: &BTreeSet<ControllerId>,
     recorded: &BTreeMap<ControllerId, SocketAddr>,
     known: &BTreeMap<ControllerId, SocketAddr>,
--- a/crates/membership/tests/joiner.rs
+++ b/crates/membership/tests/joiner.rs
@@ -13,10 +13,10 @@
 fn due(joiner: &mut Joiner, known: &[u16], is_member: bool, now: u64) -> Vec<u16> {
     let known: Vec<SocketAddr> = known.iter().map(|one| address(*one)).collect();
     let view = JoinerView {
-        own: address(OWN),
+        own_address: address(OWN),
         leader_known: false,
         is_member,
-        known: &known,
+        known_addresses: &known,
     };
     let due = joiner.due(view, Timestamp::at(now));
     due.iter().map(SocketAddr::port).collect()
@@ -34,7 +34,7 @@
 fn the_leader_that_an_answer_names_is_asked_at_once_and_first() {
     let mut joiner = Joiner::default();
     assert_eq!(due(&mut joiner, &[OWN, 2], false, 0), [2]);
-    joiner.answered(
+    joiner.reply_received(
         address(2),
         &follower(Some(9), &[OWN, 2, 3, 9]),
         Timestamp(5),
@@ -50,8 +50,8 @@
         leads: true,
         ..follower(None, &[2, 3, 4])
     };
-    joiner.answered(address(3), &leads, Timestamp(5));
-    joiner.answered(address(2), &follower(None, &[]), Timestamp(5));
+    joiner.reply_received(address(3), &leads, Timestamp(5));
+    joiner.reply_received(address(2), &follower(None, &[]), Timestamp(5));
     assert_eq!(due(&mut joiner, &[2, 3], false, 10), [0_u16; 0]);
     assert_eq!(due(&mut joiner, &[2, 3], false, 310), [3]);
 }
@@ -62,7 +62,7 @@
     let mut asked = Vec::new();
     for now in (0..6_000).step_by(100) {
         if !due(&mut joiner, &[2], false, now).is_empty() {
-            joiner.unanswered(address(2), Timestamp::at(now));
+            joiner.no_reply(address(2), Timestamp::at(now));
             asked.push(now);
         }
     }
--- a/crates/membership/tests/redundancy.rs
+++ b/crates/membership/tests/redundancy.rs
@@ -1,7 +1,7 @@
 //! How many losses a group can bear, in a table, and how long it has been less than whole.
 
 use courseshunt_consensus::{MemberProgress, MembersView, Membership};
-use courseshunt_membership::{Redundancy, RedundancyWatch};
+use courseshunt_membership::{Redundancy, RedundancyTracker};
 use courseshunt_types::{ControllerId, LogIndex, Millis, Timestamp};
 
 const OWN: ControllerId = ControllerId(1);
@@ -43,7 +43,7 @@
 #[test]
 fn the_time_below_full_redundancy_counts_until_the_group_is_whole_again() {
     let (whole, one_lost) = (group(&[10; 4]), group(&[10, 10, 10, 5_000]));
-    let mut watch = RedundancyWatch::default();
+    let mut watch = RedundancyTracker::default();
     assert!(watch.update(whole, Timestamp(1_000)));
     assert!(
         !watch.update(whole, Timestamp(1_200)),
--- a/crates/membership/tests/repair.rs
+++ b/crates/membership/tests/repair.rs
@@ -1,7 +1,7 @@
 //! The leader's decisions on the members, in a table.
 
 use courseshunt_consensus::{MemberProgress, MembersView, Membership, MembershipChange};
-use courseshunt_membership::{GroupView, decide};
+use courseshunt_membership::{GroupView, next_change};
 use courseshunt_types::{ControllerId, LogIndex, Millis};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
         .iter()
         .map(|one| (id(*one), address(*one)))
         .collect();
-    decide(&GroupView {
+    next_change(&GroupView {
         own: id(OWN),
         members: &members,
         addresses: &addresses,
--- a/crates/services/examples/choice_costs.rs
+++ b/crates/services/examples/choice_costs.rs
@@ -4,7 +4,7 @@
 //! is on one instance in a hundred, a busy one on one in ten; a plain service has one in 28.
 
 use courseshunt_services::{
-    FedInstances, InstanceState, InstanceUsage, InstanceView, PrefixPart, PromptShape,
+    InstanceDirectory, InstanceState, InstanceUsage, InstanceView, PrefixPart, PromptShape,
     ResidentModel, Selector,
 };
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp, Zone};
@@ -62,7 +62,7 @@
 }
 
 /// The median time of a choice and its sending, in microseconds.
-fn choice(fed: &FedInstances, usage: &[InstanceUsage], service: &str, model: &str) -> f64 {
+fn choice(fed: &InstanceDirectory, usage: &[InstanceUsage], service: &str, model: &str) -> f64 {
     let mut selector = Selector::new(Zone::from("zone-1")).seeded(7);
     selector.set_routers(ROUTERS);
     let mut times: Vec<f64> = Vec::new();
@@ -88,7 +88,7 @@
 fn main() {
     println!("instances | a rare model | a busy model | a plain service");
     for instances in SIZES {
-        let mut fed = FedInstances::default();
+        let mut fed = InstanceDirectory::default();
         fed.change((0..instances).map(view).collect(), Vec::new());
         // A fifth of the instances is in use.
         let usage: Vec<InstanceUsage> = (0..instances)
--- a/crates/services/examples/fleet_costs.rs
+++ b/crates/services/examples/fleet_costs.rs
@@ -3,9 +3,9 @@
 //! fleet_costs`. Milliseconds on one whole core; the median of several runs.
 
 use courseshunt_services::{
-    Engine, FedInstances, InstanceDigests, InstanceState, InstanceView, ModelDemand,
-    ModelSpecification, PlacementEngine, PlacementSettings, Registration, ResidentModel, Service,
-    ServiceConfiguration, WeightCopies,
+    CachedWeights, Engine, InstanceDigests, InstanceDirectory, InstanceState, InstanceView,
+    ModelDemand, ModelSpecification, PlacementEngine, PlacementSettings, Registration,
+    ResidentModel, Service, ServiceConfiguration,
 };
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp, Zone};
 use std::sync::Arc;
@@ -51,8 +51,8 @@
         memory_mb: 200_000.0,
         adapter_slots: 8,
         loads_per_second: 2_800.0,
-        copy_memory_mb: 140_000.0,
-        copy_disk_mb: 470_000.0,
+        cache_memory_mb: 140_000.0,
+        cache_disk_mb: 470_000.0,
         models: models.map(|one| (one.name.0.clone(), one)).collect(),
     };
     Arc::new(ServiceConfiguration {
@@ -88,7 +88,7 @@
         sequence,
         remaining: None,
         models: vec![model(0), model(1), model(2)],
-        copies: WeightCopies::default(),
+        cached_weights: CachedWeights::default(),
     }
 }
 
@@ -162,7 +162,7 @@
                 }
             },
         );
-        let tell = median(FedInstances::default, |fed| {
+        let tell = median(InstanceDirectory::default, |fed| {
             std::hint::black_box(fed.change(views.clone(), Vec::new()));
         });
         let digests = median(|| (), |()| drop(InstanceDigests::of(&views)));
--- a/crates/services/src/budget.rs
+++ b/crates/services/src/budget.rs
@@ -58,7 +58,7 @@
     }
 
     /// Notes a client's request.
-    pub fn request(&mut self, now: Timestamp) {
+    pub fn record_request(&mut self, now: Timestamp) {
         self.forget(now);
         self.requests.push_back(now);
     }
--- a/crates/services/src/configuration.rs
+++ b/crates/services/src/configuration.rs
@@ -55,7 +55,7 @@
     /// Time within which an answer earns its full credit.
     pub objective: Millis,
     /// Longest pause between events that keeps a stream in time.
-    pub pause: Option<Millis>,
+    pub event_gap_objective: Option<Millis>,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Where requests go.
@@ -93,9 +93,9 @@
     /// Loads that the weight store allows in a second, over all instances.
     pub loads_per_second: f64,
     /// Memory of an instance for copies of weights that it does not hold, in MB.
-    pub copy_memory_mb: f64,
+    pub cache_memory_mb: f64,
     /// Disk of an instance for copies of weights, in MB.
-    pub copy_disk_mb: f64,
+    pub cache_disk_mb: f64,
     /// All models, by name.
     pub models: BTreeMap<String, ModelSpecification>,
 }
--- a/crates/services/src/digest.rs
+++ b/crates/services/src/digest.rs
@@ -8,13 +8,13 @@
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
 /// Parts into which the instances are divided by a hash of their identity.
-pub const BUCKETS: usize = 64;
+pub const BUCKET_COUNT: usize = 64;
 
 /// The part that an instance belongs to.
 #[must_use]
 pub fn bucket_of(id: &RunnerId) -> usize {
     let hash = xxh3_64(id.as_str().as_bytes());
-    usize::try_from(hash % BUCKETS as u64).unwrap_or_default()
+    usize::try_from(hash % BUCKET_COUNT as u64).unwrap_or_default()
 }
 
 /// Digest of a configuration's document.
@@ -30,7 +30,7 @@
 
 impl Default for InstanceDigests {
     fn default() -> Self {
-        Self(vec![0; BUCKETS])
+        Self(vec![0; BUCKET_COUNT])
     }
 }
 
@@ -50,7 +50,7 @@
     }
 
     /// Parts in which the other differs.
-    pub fn differing<'a>(&'a self, other: &'a Self) -> impl Iterator<Item = usize> + 'a {
+    pub fn differing_buckets<'a>(&'a self, other: &'a Self) -> impl Iterator<Item = usize> + 'a {
         let own = self.0.iter().enumerate();
         own.filter(|(bucket, digest)| other.0.get(*bucket) != Some(*digest))
             .map(|(bucket, _)| bucket)
--- a/crates/services/src/feed.rs
+++ b/crates/services/src/feed.rs
@@ -95,7 +95,7 @@
 
 /// Where a member of the control group is.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct MemberPlace {
+pub struct MemberLocation {
     /// Wire address, `ip:port`.
     pub address: String,
     /// Its zone, where that is known.
@@ -111,7 +111,7 @@
         leader: Option<String>,
     },
     /// This controller has lost its leader and waits for the next one; not a leader's word.
-    Awaiting,
+    AwaitingLeader,
     /// Whose feed this is from now on; the first message of each feed.
     Leadership {
         /// The leader's term.
@@ -120,7 +120,7 @@
         settled: bool,
     },
     /// Where the members of the group are.
-    Members(Vec<MemberPlace>),
+    Members(Vec<MemberLocation>),
     /// A committed configuration, in the operator's own form, as its difference
     /// from an older one.
     Configuration {
@@ -141,16 +141,16 @@
         gone: Vec<RunnerId>,
     },
     /// The instances of one part, where the follower's differ.
-    Part {
+    Bucket {
         /// The part, see [`crate::digest`].
-        part: u32,
+        bucket: u32,
         /// All of its instances.
         instances: Vec<InstanceView>,
         /// Whether others of this part are gone.
         complete: bool,
     },
     /// All instances that are there; others are gone. From the leader to controllers.
-    Live(Vec<RunnerId>),
+    LiveInstances(Vec<RunnerId>),
     /// Digests of all instances that are there. A router whose own differ knows some from an
     /// earlier feed that are gone: it sends [`ReportMessage::Compare`].
     Digests(InstanceDigests),
@@ -168,7 +168,7 @@
         /// The leadership that keeps these accounts.
         epoch: u64,
         /// Accounts that were used lately.
-        standings: Vec<TenantStanding>,
+        account_statuses: Vec<TenantStanding>,
     },
     /// Answers to a router's questions.
     QuotaAnswers(Vec<QuotaAnswer>),
@@ -193,21 +193,21 @@
     /// The router's connection; a later one has another number.
     pub session: u64,
     /// What there is to tell.
-    pub news: RouterNews,
+    pub update: RouterUpdate,
 }
 
 /// See [`RelayedReport`].
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub enum RouterNews {
+pub enum RouterUpdate {
     /// It follows the controller.
-    Follows {
+    Connected {
         /// Number of the configuration in force there, 0 for none.
         configuration: u64,
     },
     /// What it reports.
-    Reports(ReportMessage),
+    Report(ReportMessage),
     /// It follows the controller no more.
-    Lost,
+    Disconnected,
 }
 
 /// Router to controller.
@@ -241,13 +241,13 @@
         uses: Vec<TenantUse>,
     },
     /// Whether requests are within their tenants' limits.
-    AskQuotas(Vec<QuotaAsk>),
+    QuotaQueries(Vec<QuotaAsk>),
     /// What instances said of their limits, and whether requests are within them.
     Limits {
         /// What the leader was not told yet.
-        words: Vec<LimitWord>,
+        reports: Vec<LimitWord>,
         /// Questions.
-        asks: Vec<LimitAsk>,
+        queries: Vec<LimitAsk>,
     },
     /// Asks for the parts in which the router's instances differ.
     Compare(InstanceDigests),
--- a/crates/services/src/instance.rs
+++ b/crates/services/src/instance.rs
@@ -8,7 +8,7 @@
     /// Takes work.
     Ready,
     /// Finishes what it has.
-    Leaving,
+    Draining,
 }
 
 /// A model that an instance holds.
@@ -44,14 +44,14 @@
     /// Models held.
     pub models: Vec<ResidentModel>,
     /// Weights that it can load without the weight store.
-    pub copies: WeightCopies,
+    pub cached_weights: CachedWeights,
 }
 
 /// Copies of weights that an instance keeps besides the models it holds.
 #[derive(
     Debug, Clone, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
-pub struct WeightCopies {
+pub struct CachedWeights {
     /// Models of which it has a copy in its own memory.
     pub in_memory: Vec<ModelName>,
     /// Models of which it has a copy on its own disk.
--- a/crates/services/src/fed_instances.rs
+++ b/crates/services/src/instance_directory.rs
@@ -2,12 +2,12 @@
 //! compared.
 //!
 //! Invariant: the digests are those of the views that are held. A process that takes over
-//! what [`FedInstances::change`] returns holds the same views.
+//! what [`InstanceDirectory::change`] returns holds the same views.
 //!
 //! Cost: proportional to what changes; the digests of 10,000 instances are never computed
 //! anew.
 
-use crate::digest::{BUCKETS, InstanceDigests, bucket_of};
+use crate::digest::{BUCKET_COUNT, InstanceDigests, bucket_of};
 use crate::instance::InstanceView;
 use crate::instance_index::InstanceIndex;
 use courseshunt_types::RunnerId;
@@ -16,19 +16,19 @@
 
 /// See the module.
 #[derive(Debug, Clone)]
-pub struct FedInstances {
+pub struct InstanceDirectory {
     views: BTreeMap<RunnerId, Arc<InstanceView>>,
     index: InstanceIndex,
     parts: Vec<BTreeSet<RunnerId>>,
     digests: InstanceDigests,
 }
 
-impl Default for FedInstances {
+impl Default for InstanceDirectory {
     fn default() -> Self {
         Self {
             views: BTreeMap::new(),
             index: InstanceIndex::default(),
-            parts: vec![BTreeSet::new(); BUCKETS],
+            parts: vec![BTreeSet::new(); BUCKET_COUNT],
             digests: InstanceDigests::default(),
         }
     }
@@ -51,7 +51,7 @@
     }
 }
 
-impl FedInstances {
+impl InstanceDirectory {
     /// Takes changes over; returns what followers lack. An instance that is gone is told
     /// also where it is not known here: a follower may know it from an earlier feed.
     pub fn change(&mut self, changed: Vec<InstanceView>, gone: Vec<RunnerId>) -> InstanceChanges {
@@ -71,7 +71,7 @@
     }
 
     /// Takes the instances of a part over; where that is `complete`, others of it are gone.
-    pub fn set_part(
+    pub fn set_bucket(
         &mut self,
         part: usize,
         instances: Vec<InstanceView>,
@@ -136,7 +136,7 @@
     }
 
     /// The views of one part.
-    pub fn part(&self, part: usize) -> impl Iterator<Item = &InstanceView> {
+    pub fn bucket(&self, part: usize) -> impl Iterator<Item = &InstanceView> {
         let ids = self.parts.get(part).into_iter().flatten();
         ids.filter_map(|id| self.get(id))
     }
--- a/crates/services/src/instance_index.rs
+++ b/crates/services/src/instance_index.rs
@@ -1,7 +1,7 @@
 //! Which instances a request can go to, by service and model, so that a choice looks at
 //! those alone.
 //!
-//! Invariant: it holds the same views as the [`crate::FedInstances`] that it belongs to, each
+//! Invariant: it holds the same views as the [`crate::InstanceDirectory`] that it belongs to, each
 //! list in the order of identities.
 //!
 //! Cost: a search in a sorted list for each model of a view that changes.
--- a/crates/services/src/lib.rs
+++ b/crates/services/src/lib.rs
@@ -2,7 +2,7 @@
 //! instances there are, which of them a request goes to and which models they
 //! are told to hold. No I/O, no clock, no threads.
 //!
-//! Invariants: a configuration that [`judge`](judge::judge) refuses is never in
+//! Invariants: a configuration that [`validate`](validation::validate) refuses is never in
 //! force; an instance that leaves is never selected again; orders never put
 //! more on an instance than its memory and adapter places hold.
 
@@ -12,17 +12,16 @@
 )]
 
 pub mod budget;
-pub mod ceiling;
 pub mod configuration;
 pub mod content;
 mod decay;
 pub mod digest;
-pub mod fed_instances;
 pub mod feed;
 pub mod instance;
+pub mod instance_directory;
 mod instance_index;
-pub mod judge;
 pub mod limit;
+pub mod load_rate_limiter;
 pub mod placement;
 pub mod quarantine;
 pub mod quota;
@@ -32,24 +31,25 @@
 pub mod store_limit;
 pub mod tenants;
 pub mod token_bucket;
+pub mod validation;
 
 pub use budget::RetryBudget;
-pub use ceiling::LoadCeiling;
 pub use configuration::{
     ClientLimits, Engine, ModelSpecification, RequestKind, Route, Service, ServiceConfiguration,
     Target,
 };
 pub use content::RequestContent;
 pub use digest::InstanceDigests;
-pub use fed_instances::FedInstances;
 pub use feed::{
-    FeedMessage, InstanceUsage, MemberPlace, ModelDemand, RelayedReport, ReportMessage, RouterNews,
+    FeedMessage, InstanceUsage, MemberLocation, ModelDemand, RelayedReport, ReportMessage,
+    RouterUpdate,
 };
-pub use instance::{InstanceState, InstanceView, Registration, ResidentModel, WeightCopies};
-pub use judge::{ConfigurationError, judge};
+pub use instance::{CachedWeights, InstanceState, InstanceView, Registration, ResidentModel};
+pub use instance_directory::InstanceDirectory;
 pub use limit::ledger::LimitLedger;
 pub use limit::local::{LimitNews, LimitStep, RouterLimits};
 pub use limit::{LimitAnswer, LimitAsk, LimitVerdict, LimitWord, NamedLimit, RequestRate};
+pub use load_rate_limiter::LoadRateLimiter;
 pub use placement::{
     InstanceReport, LoadEnd, LoadSource, Order, OrderAction, OrderEvidence, OrderOutcome,
     PlacementEngine, PlacementEvent, PlacementSettings, PlacementStep, SetAside,
@@ -67,3 +67,4 @@
 pub use selection::{Candidate, PrefixPart, PromptShape, Pushback, Pushbacks, Selector};
 pub use store_limit::StoreLimit;
 pub use tenants::{Quota, QuotaUnit, Tenant, TenantTable};
+pub use validation::{ConfigurationError, validate};
--- a/crates/services/src/ceiling.rs
+++ b/crates/services/src/load_rate_limiter.rs
@@ -14,11 +14,11 @@
 
 /// A token bucket for loads from the weight store.
 #[derive(Debug)]
-pub struct LoadCeiling {
+pub struct LoadRateLimiter {
     bucket: TokenBucket,
 }
 
-impl LoadCeiling {
+impl LoadRateLimiter {
     /// An empty bucket for `rate` loads a second, judged over `window`.
     #[must_use]
     pub fn new(rate: f64, window: Millis, now: Timestamp) -> Self {
--- a/crates/services/src/placement/instance/copies.rs
+++ b/crates/services/src/placement/instance/copies.rs
@@ -6,7 +6,7 @@
 //! store's ceiling is never taken for one from the instance's own disk.
 
 use crate::configuration::{Engine, ModelSpecification};
-use crate::instance::WeightCopies;
+use crate::instance::CachedWeights;
 use courseshunt_types::{Millis, ModelName, Timestamp};
 
 /// A load that ended within this time may be missing from what the instance tells.
@@ -56,7 +56,7 @@
 
 impl Copies {
     /// Takes over what the instance tells, and what was loaded since.
-    pub(super) fn told(&mut self, told: &WeightCopies, engine: Option<&Engine>, now: Timestamp) {
+    pub(super) fn told(&mut self, told: &CachedWeights, engine: Option<&Engine>, now: Timestamp) {
         self.in_memory = in_order_of_use(&self.in_memory, &told.in_memory);
         self.on_disk = in_order_of_use(&self.on_disk, &told.on_disk);
         self.loaded.retain(|(_, at)| now.since(*at) < TELLING_LAG);
@@ -96,16 +96,16 @@
     }
 
     fn make_room(&mut self, model: &ModelName, engine: &Engine) {
-        evict(&mut self.in_memory, model, engine.copy_memory_mb, engine);
-        evict(&mut self.on_disk, model, engine.copy_disk_mb, engine);
+        evict(&mut self.in_memory, model, engine.cache_memory_mb, engine);
+        evict(&mut self.on_disk, model, engine.cache_disk_mb, engine);
     }
 
     fn keep(&mut self, model: &ModelName, engine: &Engine) {
         self.make_room(model, engine);
-        if size_of(model, engine) <= engine.copy_memory_mb {
+        if size_of(model, engine) <= engine.cache_memory_mb {
             use_last(&mut self.in_memory, model);
         }
-        if size_of(model, engine) <= engine.copy_disk_mb {
+        if size_of(model, engine) <= engine.cache_disk_mb {
             use_last(&mut self.on_disk, model);
         }
     }
--- a/crates/services/src/placement/instance/mod.rs
+++ b/crates/services/src/placement/instance/mod.rs
@@ -9,7 +9,7 @@
 
 use super::OrderAction;
 use crate::configuration::Engine;
-use crate::instance::{InstanceState, InstanceView, Registration, ResidentModel, WeightCopies};
+use crate::instance::{CachedWeights, InstanceState, InstanceView, Registration, ResidentModel};
 use copies::Copies;
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp};
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
     /// Adapters being loaded, with their models.
     pub pending: Vec<(ModelName, String)>,
     /// Weights that it can load without the weight store, if it tells.
-    pub copies: Option<WeightCopies>,
+    pub copies: Option<CachedWeights>,
 }
 
 /// A model on the instance.
@@ -135,7 +135,7 @@
         };
         let models = instance.registration.models.clone();
         instance.believe(&models, &[], now);
-        let told = &instance.registration.copies;
+        let told = &instance.registration.cached_weights;
         instance.copies.told(told, engine, now);
         instance
     }
@@ -178,8 +178,8 @@
     }
 
     pub(super) fn leave(&mut self) -> bool {
-        let news = self.state != InstanceState::Leaving;
-        self.state = InstanceState::Leaving;
+        let news = self.state != InstanceState::Draining;
+        self.state = InstanceState::Draining;
         news
     }
 
@@ -194,13 +194,13 @@
         }
         self.heard_at = now;
         let before = self.view(now);
-        if registration.state == InstanceState::Leaving {
+        if registration.state == InstanceState::Draining {
             self.leave();
         }
         self.not_reached.clear();
         self.registration = registration;
         self.reconcile(engine, now);
-        let told = &self.registration.copies;
+        let told = &self.registration.cached_weights;
         self.copies.told(told, engine, now);
         let after = self.view(now);
         before != after
--- a/crates/services/src/placement/mod.rs
+++ b/crates/services/src/placement/mod.rs
@@ -30,7 +30,7 @@
 pub use order::{Order, OrderAction, OrderEvidence, OrderOutcome, PlacementStep};
 
 use crate::configuration::ServiceConfiguration;
-use crate::instance::{InstanceState, InstanceView, Registration, WeightCopies};
+use crate::instance::{CachedWeights, InstanceState, InstanceView, Registration};
 use crate::relay::RelayedRegistration;
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp};
 use demand::DemandTable;
@@ -168,7 +168,7 @@
             Life::Begins { ended: None } | Life::Newest => {}
         }
         if self.leaving.contains(&id) {
-            registration.state = InstanceState::Leaving;
+            registration.state = InstanceState::Draining;
         }
         if self.departed.contains_key(&id) || self.is_outdated(&registration, now) {
             return false;
@@ -208,12 +208,12 @@
         now: Timestamp,
     ) -> Result<bool, RunnerId> {
         let registration = match relayed {
-            RelayedRegistration::Whole(registration) => registration,
-            RelayedRegistration::Again {
+            RelayedRegistration::Full(registration) => registration,
+            RelayedRegistration::Unchanged {
                 id,
                 sequence,
-                repeats,
-            } => match self.repeated(&id, repeats) {
+                previous_sequence,
+            } => match self.repeated(&id, previous_sequence) {
                 Some(known) => Registration {
                     sequence,
                     ..known.clone()
@@ -222,7 +222,7 @@
                 None => return Err(id),
             },
         };
-        if registration.state == InstanceState::Leaving {
+        if registration.state == InstanceState::Draining {
             self.leave(&registration.id);
         }
         Ok(self.register(registration, now))
@@ -238,7 +238,7 @@
     /// known already stays as it is.
     pub fn seed(&mut self, view: &InstanceView, now: Timestamp) {
         let known = self.instances.contains(&view.id);
-        if known || self.leaving.contains(&view.id) || view.state == InstanceState::Leaving {
+        if known || self.leaving.contains(&view.id) || view.state == InstanceState::Draining {
             return;
         }
         let registration = Registration {
@@ -251,7 +251,7 @@
             sequence: 0,
             remaining: None,
             models: view.models.clone(),
-            copies: WeightCopies::default(),
+            cached_weights: CachedWeights::default(),
         };
         self.register(registration, now);
     }
--- a/crates/services/src/placement/store.rs
+++ b/crates/services/src/placement/store.rs
@@ -5,7 +5,7 @@
 //! with room under the learnt limit. An instance that evicts for such a load
 //! reserves both first, so that no memory lies empty while it waits.
 
-use crate::ceiling::LoadCeiling;
+use crate::load_rate_limiter::LoadRateLimiter;
 use crate::store_limit::StoreLimit;
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 /// See the module.
 #[derive(Debug)]
 pub(super) struct WeightStore {
-    ceiling: LoadCeiling,
+    ceiling: LoadRateLimiter,
     limit: StoreLimit,
     /// Instances that evict for a load from the store.
     reserved: BTreeSet<RunnerId>,
@@ -22,7 +22,7 @@
 impl WeightStore {
     pub(super) fn new(rate: f64, window: Millis, now: Timestamp) -> Self {
         Self {
-            ceiling: LoadCeiling::new(rate, window, now),
+            ceiling: LoadRateLimiter::new(rate, window, now),
             limit: StoreLimit::new(now),
             reserved: BTreeSet::new(),
         }
--- a/crates/services/src/quota/ledger.rs
+++ b/crates/services/src/quota/ledger.rs
@@ -307,7 +307,7 @@
         self.history.add(units, 0, at);
         if now.since(at) <= PACED {
             self.pace.charge(units as f64, now);
-            self.pace.forgive_below(-self.pace.capacity());
+            self.pace.raise_level_to(-self.pace.capacity());
         }
     }
 
--- a/crates/services/src/quota/local.rs
+++ b/crates/services/src/quota/local.rs
@@ -177,7 +177,7 @@
         }
         own.charge(amount, now);
         if guarded {
-            own.forgive_below(0.0);
+            own.raise_level_to(0.0);
         }
         self.count(request, true, now);
         QuotaStep::Admit
@@ -241,7 +241,7 @@
         let own = self.own_bucket(request, now);
         own.charge(f64::from(request.units), now);
         // Requests larger than the part would shut it for long.
-        own.forgive_below(-(1.0 + OWN_DEBT) * own.capacity());
+        own.raise_level_to(-(1.0 + OWN_DEBT) * own.capacity());
         self.count(request, untold, now);
     }
 
--- a/crates/services/src/relay.rs
+++ b/crates/services/src/relay.rs
@@ -22,15 +22,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum RelayedRegistration {
     /// All of it.
-    Whole(Registration),
+    Full(Registration),
     /// The same as the one before, under a new number.
-    Again {
+    Unchanged {
         /// The instance.
         id: RunnerId,
         /// Its number.
         sequence: u64,
         /// Number of the registration that it repeats.
-        repeats: u64,
+        previous_sequence: u64,
     },
 }
 
@@ -58,12 +58,12 @@
         let before = self.heard.get(&id).map(|heard| &heard.registration);
         let relayed = match before {
             Some(before) if registration.sequence <= before.sequence => return,
-            Some(before) if repeats(before, &registration) => RelayedRegistration::Again {
+            Some(before) if repeats(before, &registration) => RelayedRegistration::Unchanged {
                 id: id.clone(),
                 sequence: registration.sequence,
-                repeats: before.sequence,
+                previous_sequence: before.sequence,
             },
-            _ => RelayedRegistration::Whole(registration.clone()),
+            _ => RelayedRegistration::Full(registration.clone()),
         };
         self.push(relayed);
         let heard = Heard {
@@ -105,7 +105,7 @@
     /// The leader lacks what an instance repeated: it is sent whole.
     pub fn resend(&mut self, id: &RunnerId) {
         if let Some(heard) = self.heard.get(id) {
-            let whole = RelayedRegistration::Whole(heard.registration.clone());
+            let whole = RelayedRegistration::Full(heard.registration.clone());
             self.push(whole);
         }
     }
@@ -114,7 +114,7 @@
     pub fn restart(&mut self, now: Timestamp) {
         self.prune(now);
         let all = self.heard.values();
-        let all = all.map(|heard| RelayedRegistration::Whole(heard.registration.clone()));
+        let all = all.map(|heard| RelayedRegistration::Full(heard.registration.clone()));
         self.queue = all.collect();
         self.news = self.queue.len();
     }
@@ -132,14 +132,14 @@
 }
 
 fn is_news(relayed: &RelayedRegistration) -> bool {
-    matches!(relayed, RelayedRegistration::Whole(_))
+    matches!(relayed, RelayedRegistration::Full(_))
 }
 
 /// Whether two registrations differ by their number alone.
 fn repeats(before: &Registration, after: &Registration) -> bool {
     before.state == after.state
         && before.models == after.models
-        && before.copies == after.copies
+        && before.cached_weights == after.cached_weights
         && before.remaining == after.remaining
         && before.slots == after.slots
         && before.address == after.address
--- a/crates/services/src/tenants.rs
+++ b/crates/services/src/tenants.rs
@@ -4,7 +4,7 @@
 //! digest, so that its time tells nothing about the keys that are held. Cost: one
 //! digest and one hash look-up, whatever the number of tenants.
 
-use crate::judge::ConfigurationError;
+use crate::validation::ConfigurationError;
 use courseshunt_types::Digest;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -41,7 +41,7 @@
     /// The tokens of a prompt and the most that may come out of it.
     Tokens {
         /// What a request counts that says nothing about its tokens.
-        plain: u32,
+        default_units: u32,
     },
 }
 
@@ -51,10 +51,12 @@
     pub fn weight(&self, prompt_tokens: u32, output_tokens: u32) -> u32 {
         match self.unit {
             QuotaUnit::Requests => 1,
-            QuotaUnit::Tokens { plain } => match prompt_tokens.saturating_add(output_tokens) {
-                0 => plain,
-                tokens => tokens,
-            },
+            QuotaUnit::Tokens { default_units } => {
+                match prompt_tokens.saturating_add(output_tokens) {
+                    0 => default_units,
+                    tokens => tokens,
+                }
+            }
         }
     }
 }
@@ -84,7 +86,7 @@
 
     /// Whether requests need a key: where tenants are declared.
     #[must_use]
-    pub fn is_needed(&self) -> bool {
+    pub fn requires_key(&self) -> bool {
         self.declared
     }
 
@@ -99,16 +101,16 @@
 ///
 /// # Errors
 /// The first fault found; it names tenants, never keys.
-pub(crate) fn judge_tenants(tenants: &[Tenant]) -> Result<(), ConfigurationError> {
+pub(crate) fn validate_tenants(tenants: &[Tenant]) -> Result<(), ConfigurationError> {
     let mut names = BTreeSet::new();
     let mut holders: HashMap<Digest, &str> = HashMap::new();
     for tenant in tenants {
         if !names.insert(tenant.name.as_str()) {
-            return Err(ConfigurationError::SameTenant {
+            return Err(ConfigurationError::DuplicateTenant {
                 tenant: tenant.name.clone(),
             });
         }
-        judge_quota(tenant)?;
+        validate_quota(tenant)?;
         for key in &tenant.keys {
             let holder = holders.insert(*key, &tenant.name);
             if let Some(other) = holder.filter(|other| *other != tenant.name) {
@@ -122,14 +124,14 @@
     Ok(())
 }
 
-fn judge_quota(tenant: &Tenant) -> Result<(), ConfigurationError> {
+fn validate_quota(tenant: &Tenant) -> Result<(), ConfigurationError> {
     let Some(quota) = tenant.quota else {
         return Ok(());
     };
     let valid = |value: f64| value.is_finite() && value >= 0.0;
     match valid(quota.rate_per_second) && valid(quota.burst) {
         true => Ok(()),
-        false => Err(ConfigurationError::BadQuota {
+        false => Err(ConfigurationError::InvalidQuota {
             tenant: tenant.name.clone(),
         }),
     }
--- a/crates/services/src/token_bucket.rs
+++ b/crates/services/src/token_bucket.rs
@@ -64,11 +64,11 @@
     /// Takes an amount if it is there; an amount above the capacity needs a full
     /// bucket and leaves it owing. Returns whether it was taken.
     pub fn take(&mut self, amount: f64, now: Timestamp) -> bool {
-        self.take_at(amount.min(self.capacity), amount, now)
+        self.take_if_level_at_least(amount.min(self.capacity), amount, now)
     }
 
     /// Takes an amount if the bucket holds at least `needed`.
-    pub fn take_at(&mut self, needed: f64, amount: f64, now: Timestamp) -> bool {
+    pub fn take_if_level_at_least(&mut self, needed: f64, amount: f64, now: Timestamp) -> bool {
         self.refill(now);
         if self.level < needed {
             return false;
@@ -84,7 +84,7 @@
     }
 
     /// Forgives what is owed beyond a bound.
-    pub fn forgive_below(&mut self, least: f64) {
+    pub fn raise_level_to(&mut self, least: f64) {
         self.level = self.level.max(least);
     }
 
--- a/crates/services/src/judge.rs
+++ b/crates/services/src/validation.rs
@@ -1,7 +1,7 @@
 //! Decides whether a configuration is valid.
 
 use crate::configuration::{Route, ServiceConfiguration};
-use crate::tenants::judge_tenants;
+use crate::tenants::validate_tenants;
 use std::collections::BTreeSet;
 
 /// Why a configuration is invalid.
@@ -23,7 +23,7 @@
     },
     /// Two routes share host and prefix.
     #[snafu(display("route {route}: host {host} and prefix {prefix} are taken already"))]
-    SamePlace {
+    DuplicateRoute {
         /// The second route.
         route: String,
         /// The host.
@@ -33,19 +33,19 @@
     },
     /// A route's weights add up to nothing.
     #[snafu(display("route {route}: its weights add up to nothing"))]
-    NoWeight {
+    InvalidWeights {
         /// The route.
         route: String,
     },
     /// A route has no time limit.
     #[snafu(display("route {route}: its time limit is 0"))]
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
     /// A prefix that does not begin and end with a slash.
     #[snafu(display("route {route}: prefix {prefix} must begin and end with a slash"))]
-    BadPrefix {
+    InvalidPrefix {
         /// The route.
         route: String,
         /// The prefix.
@@ -53,7 +53,7 @@
     },
     /// Two tenants share a name.
     #[snafu(display("tenant {tenant} is declared twice"))]
-    SameTenant {
+    DuplicateTenant {
         /// The tenant.
         tenant: String,
     },
@@ -67,13 +67,13 @@
     },
     /// A tenant's limit is no number from 0 up.
     #[snafu(display("tenant {tenant}: its rate and burst must be numbers from 0 up"))]
-    BadQuota {
+    InvalidQuota {
         /// The tenant.
         tenant: String,
     },
     /// Two services share a name.
     #[snafu(display("service {service} is declared twice"))]
-    SameService {
+    DuplicateService {
         /// The service.
         service: String,
     },
@@ -83,39 +83,39 @@
 ///
 /// # Errors
 /// The first fault found.
-pub fn judge(configuration: &ServiceConfiguration) -> Result<(), ConfigurationError> {
+pub fn validate(configuration: &ServiceConfiguration) -> Result<(), ConfigurationError> {
     let mut services = BTreeSet::new();
     for service in &configuration.services {
         if !services.insert(service.name.as_str()) {
-            return Err(ConfigurationError::SameService {
+            return Err(ConfigurationError::DuplicateService {
                 service: service.name.clone(),
             });
         }
     }
     let mut places = BTreeSet::new();
     for route in &configuration.routes {
-        judge_route(route, &services)?;
+        validate_route(route, &services)?;
         if !places.insert((route.host.as_str(), route.prefix.as_str())) {
-            return Err(ConfigurationError::SamePlace {
+            return Err(ConfigurationError::DuplicateRoute {
                 route: route.name.clone(),
                 host: route.host.clone(),
                 prefix: route.prefix.clone(),
             });
         }
     }
-    judge_tenants(&configuration.tenants)
+    validate_tenants(&configuration.tenants)
 }
 
-fn judge_route(route: &Route, services: &BTreeSet<&str>) -> Result<(), ConfigurationError> {
+fn validate_route(route: &Route, services: &BTreeSet<&str>) -> Result<(), ConfigurationError> {
     let name = || route.name.clone();
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        return Err(ConfigurationError::BadPrefix {
+        return Err(ConfigurationError::InvalidPrefix {
             route: name(),
             prefix: route.prefix.clone(),
         });
     }
     if route.timeout.0 == 0 {
-        return Err(ConfigurationError::NoTimeout { route: name() });
+        return Err(ConfigurationError::ZeroTimeout { route: name() });
     }
     for target in &route.targets {
         if !services.contains(target.service.as_str()) {
@@ -128,7 +128,7 @@
     let weights = route.targets.iter().map(|target| target.weight);
     let valid = weights.clone().all(|weight| weight >= 0.0);
     if !valid || weights.sum::<f64>() <= 0.0 {
-        return Err(ConfigurationError::NoWeight { route: name() });
+        return Err(ConfigurationError::InvalidWeights { route: name() });
     }
     Ok(())
 }
--- a/crates/services/tests/configuration.rs
+++ b/crates/services/tests/configuration.rs
@@ -3,7 +3,7 @@
 use courseshunt_services::routes::pick_target;
 use courseshunt_services::{
     ConfigurationError, RequestKind, Route, RouteTable, Service, ServiceConfiguration, Target,
-    judge,
+    validate,
 };
 use courseshunt_types::Millis;
 
@@ -19,7 +19,7 @@
         kind: RequestKind::Safe,
         timeout: Millis(1_000),
         objective: Millis(100),
-        pause: None,
+        event_gap_objective: None,
         priority: 0,
         targets: targets.collect(),
         max_attempts: 2,
@@ -65,27 +65,27 @@
                 route("r", "h", "/a/", &[("one", 1.0)]),
                 route("s", "h", "/a/", &[("two", 1.0)]),
             ],
-            |error| matches!(error, ConfigurationError::SamePlace { .. }),
+            |error| matches!(error, ConfigurationError::DuplicateRoute { .. }),
         ),
         (
             "no weight",
             vec![route("r", "h", "/a/", &[("one", 0.0), ("two", 0.0)])],
-            |error| matches!(error, ConfigurationError::NoWeight { .. }),
+            |error| matches!(error, ConfigurationError::InvalidWeights { .. }),
         ),
         (
             "negative weight",
             vec![route("r", "h", "/a/", &[("one", -1.0), ("two", 2.0)])],
-            |error| matches!(error, ConfigurationError::NoWeight { .. }),
+            |error| matches!(error, ConfigurationError::InvalidWeights { .. }),
         ),
         ("no targets", vec![route("r", "h", "/a/", &[])], |error| {
-            matches!(error, ConfigurationError::NoWeight { .. })
+            matches!(error, ConfigurationError::InvalidWeights { .. })
         }),
         ("no timeout", vec![no_timeout], |error| {
-            matches!(error, ConfigurationError::NoTimeout { .. })
+            matches!(error, ConfigurationError::ZeroTimeout { .. })
         }),
     ];
     for (name, routes, check) in cases {
-        let error = judge(&configuration(routes)).expect_err(name);
+        let error = validate(&configuration(routes)).expect_err(name);
         assert!(check(&error), "{name}: {error}");
     }
 }
--- a/crates/services/tests/digest.rs
+++ b/crates/services/tests/digest.rs
@@ -1,6 +1,6 @@
 //! A router that comes back is sent what it lacks, and no more.
 
-use courseshunt_services::digest::{BUCKETS, bucket_of};
+use courseshunt_services::digest::{BUCKET_COUNT, bucket_of};
 use courseshunt_services::feed::{instances_interval, usage_interval, usage_lag};
 use courseshunt_services::{InstanceDigests, InstanceState, InstanceView, ResidentModel};
 use courseshunt_types::{Millis, ModelName, RunnerId, Zone};
@@ -28,7 +28,7 @@
 
 fn differing(left: &[InstanceView], right: &[InstanceView]) -> Vec<usize> {
     let (left, right) = (InstanceDigests::of(left), InstanceDigests::of(right));
-    left.differing(&right).collect()
+    left.differing_buckets(&right).collect()
 }
 
 #[test]
@@ -49,7 +49,7 @@
         |one| one.address.push('1'),
         |one| one.zone = Zone::from("y"),
         |one| one.slots = 63,
-        |one| one.state = InstanceState::Leaving,
+        |one| one.state = InstanceState::Draining,
         |one| one.models[0].version = 2,
         |one| one.models[0].adapters.clear(),
         |one| one.models.clear(),
@@ -68,7 +68,7 @@
     let mut other = fleet();
     let missing = other.remove(77);
     assert_eq!(differing(&fleet(), &other), [bucket_of(&missing.id)]);
-    assert_eq!(differing(&fleet(), &[]).len(), BUCKETS);
+    assert_eq!(differing(&fleet(), &[]).len(), BUCKET_COUNT);
 }
 
 #[test]
--- a/crates/services/tests/fed_instances.rs
+++ b/crates/services/tests/instance_directory.rs
@@ -1,8 +1,8 @@
 //! What a follower is told makes it hold what the feeding side holds, in any order of
 //! changes; and only what has changed is told.
 
-use courseshunt_services::digest::{BUCKETS, bucket_of};
-use courseshunt_services::{FedInstances, InstanceDigests, InstanceState, InstanceView};
+use courseshunt_services::digest::{BUCKET_COUNT, bucket_of};
+use courseshunt_services::{InstanceDigests, InstanceDirectory, InstanceState, InstanceView};
 use courseshunt_types::{Millis, ModelName, RunnerId, Zone};
 use proptest::prelude::*;
 
@@ -19,8 +19,8 @@
     }
 }
 
-fn assert_same(left: &FedInstances, right: &FedInstances) {
-    let views = |one: &FedInstances| one.values().cloned().collect::<Vec<_>>();
+fn assert_same(left: &InstanceDirectory, right: &InstanceDirectory) {
+    let views = |one: &InstanceDirectory| one.values().cloned().collect::<Vec<_>>();
     assert_eq!(views(left), views(right));
     assert_eq!(left.digests(), right.digests());
     assert_eq!(*left.digests(), InstanceDigests::of(left.values()));
@@ -28,7 +28,7 @@
 
 #[test]
 fn what_is_known_is_not_told_again() {
-    let mut fed = FedInstances::default();
+    let mut fed = InstanceDirectory::default();
     let first = fed.change(vec![view(1, 1), view(2, 2)], Vec::new());
     assert_eq!(first.changed.len(), 2);
     let again = fed.change(vec![view(1, 1), view(2, 3)], Vec::new());
@@ -45,25 +45,28 @@
 
 #[test]
 fn an_instance_that_is_gone_is_told_also_where_it_is_unknown() {
-    let mut fed = FedInstances::default();
+    let mut fed = InstanceDirectory::default();
     let gone = vec![RunnerId("i-9".to_owned())];
     assert_eq!(fed.change(Vec::new(), gone.clone()).gone, gone);
 }
 
 #[test]
 fn a_part_drops_others_only_when_it_is_complete() {
-    let mut fed = FedInstances::default();
+    let mut fed = InstanceDirectory::default();
     let all: Vec<InstanceView> = (0..200).map(|number| view(number, number)).collect();
     fed.change(all.clone(), Vec::new());
     let part = bucket_of(&all[0].id);
     let of_part = all.iter().filter(|one| bucket_of(&one.id) == part).count();
     let kept = vec![all[0].clone()];
-    let news = fed.set_part(part, kept.clone(), false);
+    let news = fed.set_bucket(part, kept.clone(), false);
     assert!(news.is_empty());
-    let news = fed.set_part(part, kept, true);
+    let news = fed.set_bucket(part, kept, true);
     assert_eq!(news.gone.len(), of_part - 1);
     assert_eq!(fed.len(), 200 - (of_part - 1));
-    assert!(fed.set_part(BUCKETS + 7, Vec::new(), true).is_empty());
+    assert!(
+        fed.set_bucket(BUCKET_COUNT + 7, Vec::new(), true)
+            .is_empty()
+    );
 }
 
 #[derive(Debug, Clone)]
@@ -84,19 +87,19 @@
 }
 
 /// Sends a follower the parts in which it differs.
-fn synchronize(source: &FedInstances, follower: &mut FedInstances) {
+fn synchronize(source: &InstanceDirectory, follower: &mut InstanceDirectory) {
     let known = follower.digests().clone();
-    let differing: Vec<usize> = source.digests().differing(&known).collect();
+    let differing: Vec<usize> = source.digests().differing_buckets(&known).collect();
     for part in differing {
-        follower.set_part(part, source.part(part).cloned().collect(), true);
+        follower.set_bucket(part, source.bucket(part).cloned().collect(), true);
     }
 }
 
 proptest! {
     #[test]
     fn a_follower_holds_what_the_source_holds(steps in steps()) {
-        let mut source = FedInstances::default();
-        let mut follower = FedInstances::default();
+        let mut source = InstanceDirectory::default();
+        let mut follower = InstanceDirectory::default();
         let mut connected = true;
         for step in steps {
             let news = match step {
--- a/crates/services/tests/instance_index.rs
+++ b/crates/services/tests/instance_index.rs
@@ -1,7 +1,7 @@
 //! What is found by service and model is what a look at all instances would find, after any
 //! changes, in the same order.
 
-use courseshunt_services::{FedInstances, InstanceState, InstanceView, ResidentModel};
+use courseshunt_services::{InstanceDirectory, InstanceState, InstanceView, ResidentModel};
 use courseshunt_types::{Millis, ModelName, RunnerId, Zone};
 use proptest::prelude::*;
 
@@ -60,7 +60,7 @@
 proptest! {
     #[test]
     fn the_index_finds_what_a_look_at_all_finds(changes in prop::collection::vec(change(), 0..60)) {
-        let mut fed = FedInstances::default();
+        let mut fed = InstanceDirectory::default();
         for change in changes {
             match change {
                 Change::Put(view) => drop(fed.change(vec![view], Vec::new())),
--- a/crates/services/tests/limits.rs
+++ b/crates/services/tests/limits.rs
@@ -1,6 +1,6 @@
 //! The retry budget and the weight store's ceiling keep their bounds.
 
-use courseshunt_services::{LoadCeiling, RetryBudget};
+use courseshunt_services::{LoadRateLimiter, RetryBudget};
 use courseshunt_types::{Millis, Timestamp};
 use rand_pcg::Pcg64;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -19,7 +19,7 @@
     for step in 0..1_000 {
         let now = Timestamp(step * 10);
         let budget = &mut budgets[(step % routers) as usize];
-        budget.request(now);
+        budget.record_request(now);
         requests += 1;
         for _ in 0..3 {
             if budget.take(routers as u32, now) {
@@ -75,7 +75,7 @@
     let pause = fleet.request_each.0 / u64::from(fleet.routers);
     for now in (0..90_000).step_by(pause as usize).map(Timestamp) {
         let router = random.next_u64() as usize % budgets.len();
-        budgets[router].request(now);
+        budgets[router].record_request(now);
         requests.push_back(now);
         if random.next_u64().is_multiple_of(fleet.fails_each) {
             played.failures += 1;
@@ -143,7 +143,7 @@
 #[test]
 fn every_window_keeps_the_ceiling() {
     let (rate, window) = (4.0, Millis(5_000));
-    let mut ceiling = LoadCeiling::new(rate, window, Timestamp(0));
+    let mut ceiling = LoadRateLimiter::new(rate, window, Timestamp(0));
     ceiling.set_rate(rate, window, Timestamp(0));
     assert!(!ceiling.take(Timestamp(0)), "a new leader begins empty");
     let starts: Vec<u64> = (0..60_000)
--- a/crates/services/tests/lives.rs
+++ b/crates/services/tests/lives.rs
@@ -28,7 +28,7 @@
             version: 1,
             adapters: Vec::new(),
         }],
-        copies: WeightCopies::default(),
+        cached_weights: CachedWeights::default(),
     }
 }
 
--- a/crates/services/tests/placement.rs
+++ b/crates/services/tests/placement.rs
@@ -289,7 +289,7 @@
         sequence,
         remaining: None,
         models: Vec::new(),
-        copies: WeightCopies::default(),
+        cached_weights: CachedWeights::default(),
     }
 }
 
--- a/crates/services/tests/placement_world/mod.rs
+++ b/crates/services/tests/placement_world/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use courseshunt_services::{
-    Engine, InstanceReport, InstanceState, ModelDemand, ModelSpecification, Order, OrderAction,
-    OrderOutcome, PlacementEngine, PlacementEvent, PlacementSettings, PlacementStep, Registration,
-    ResidentModel, Service, ServiceConfiguration, WeightCopies,
+    CachedWeights, Engine, InstanceReport, InstanceState, ModelDemand, ModelSpecification, Order,
+    OrderAction, OrderOutcome, PlacementEngine, PlacementEvent, PlacementSettings, PlacementStep,
+    Registration, ResidentModel, Service, ServiceConfiguration,
 };
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp, Zone};
 use rand_pcg::Pcg32;
@@ -47,8 +47,8 @@
                 memory_mb: MEMORY_MB,
                 adapter_slots: ADAPTER_SLOTS,
                 loads_per_second: LOADS_PER_SECOND,
-                copy_memory_mb: 0.0,
-                copy_disk_mb: disk_mb,
+                cache_memory_mb: 0.0,
+                cache_disk_mb: disk_mb,
                 models: models.map(|one| (one.name.0.clone(), one)).collect(),
             }),
         }],
@@ -239,7 +239,7 @@
             sequence: runner.beat,
             remaining: None,
             models: runner.held(),
-            copies: WeightCopies {
+            cached_weights: CachedWeights {
                 in_memory: Vec::new(),
                 on_disk: runner
                     .disk
--- a/crates/services/tests/quota.rs
+++ b/crates/services/tests/quota.rs
@@ -15,7 +15,7 @@
 const QUOTA: Quota = Quota {
     rate_per_second: 100.0,
     burst: 1_000.0,
-    unit: QuotaUnit::Tokens { plain: 1 },
+    unit: QuotaUnit::Tokens { default_units: 1 },
 };
 
 fn tenants(quota: Quota) -> Vec<Tenant> {
--- a/crates/services/tests/quota_ways.rs
+++ b/crates/services/tests/quota_ways.rs
@@ -26,7 +26,7 @@
     Quota {
         rate_per_second: rate,
         burst: rate,
-        unit: QuotaUnit::Tokens { plain: 200 },
+        unit: QuotaUnit::Tokens { default_units: 200 },
     }
 }
 
--- a/crates/services/tests/relay.rs
+++ b/crates/services/tests/relay.rs
@@ -2,8 +2,8 @@
 //! same belief as those that it takes itself, whatever is lost on the way.
 
 use courseshunt_services::{
-    InstanceState, PlacementEngine, PlacementSettings, Registration, RegistrationOutbox,
-    RelayedRegistration, ResidentModel, WeightCopies,
+    CachedWeights, InstanceState, PlacementEngine, PlacementSettings, Registration,
+    RegistrationOutbox, RelayedRegistration, ResidentModel,
 };
 use courseshunt_types::{ModelName, RunnerId, Timestamp, Zone};
 use rand_pcg::Pcg32;
@@ -24,7 +24,7 @@
             version: 1,
             adapters: Vec::new(),
         }],
-        copies: WeightCopies::default(),
+        cached_weights: CachedWeights::default(),
     }
 }
 
@@ -52,14 +52,14 @@
     assert!(outbox.is_due());
     assert!(matches!(
         outbox.take(now)[..],
-        [RelayedRegistration::Whole(_)]
+        [RelayedRegistration::Full(_)]
     ));
     outbox.offer(registration(1, 2, 5), now);
     assert!(!outbox.is_due());
-    let again = RelayedRegistration::Again {
+    let again = RelayedRegistration::Unchanged {
         id: RunnerId::from("r1"),
         sequence: 2,
-        repeats: 1,
+        previous_sequence: 1,
     };
     assert_eq!(outbox.take(now), [again]);
     outbox.offer(registration(1, 2, 6), now);
@@ -104,7 +104,7 @@
     let sent = outbox.take(Timestamp(7_000));
     assert_eq!(
         sent,
-        [RelayedRegistration::Whole(registration(2, 1, 5))],
+        [RelayedRegistration::Full(registration(2, 1, 5))],
         "the other was silent for too long"
     );
 }
--- a/crates/services/tests/selection.rs
+++ b/crates/services/tests/selection.rs
@@ -40,7 +40,7 @@
 #[test]
 fn only_ready_holders_of_model_and_adapter_are_chosen() {
     let mut leaving = view("c", "z", &[("m", &["a1"])]);
-    leaving.state = InstanceState::Leaving;
+    leaving.state = InstanceState::Draining;
     let views = [
         view("a", "z", &[("m", &[])]),
         view("b", "z", &[("m", &["a1"])]),
--- a/crates/services/tests/tenants.rs
+++ b/crates/services/tests/tenants.rs
@@ -1,7 +1,7 @@
 //! Tenants: what is refused, whose a key is, what a request counts.
 
 use courseshunt_services::{
-    ConfigurationError, Quota, QuotaUnit, ServiceConfiguration, Tenant, TenantTable, judge,
+    ConfigurationError, Quota, QuotaUnit, ServiceConfiguration, Tenant, TenantTable, validate,
 };
 use courseshunt_types::Digest;
 
@@ -23,7 +23,7 @@
 }
 
 fn verdict(tenants: Vec<Tenant>) -> Result<(), ConfigurationError> {
-    judge(&ServiceConfiguration {
+    validate(&ServiceConfiguration {
         tenants,
         ..ServiceConfiguration::default()
     })
@@ -42,10 +42,13 @@
         tenant("one", &["a"], None),
         tenant("one", &["b"], None),
     ]);
-    assert!(matches!(twice, Err(ConfigurationError::SameTenant { .. })));
+    assert!(matches!(
+        twice,
+        Err(ConfigurationError::DuplicateTenant { .. })
+    ));
     for (rate, burst) in [(-1.0, 0.0), (f64::NAN, 0.0), (1.0, f64::INFINITY)] {
         let verdict = verdict(vec![tenant("one", &["a"], quota(rate, burst))]);
-        let refused = matches!(verdict, Err(ConfigurationError::BadQuota { .. }));
+        let refused = matches!(verdict, Err(ConfigurationError::InvalidQuota { .. }));
         assert!(refused, "{rate}, {burst}");
     }
     let fine = verdict(vec![
@@ -62,7 +65,7 @@
         tenant("two", &["c"], None),
     ];
     let table = TenantTable::new(&tenants);
-    assert!(table.is_needed());
+    assert!(table.requires_key());
     let found = |key: &str| {
         let found = table.find(&Digest::of(key.as_bytes()));
         found.map(|tenant| tenant.name.as_str())
@@ -70,7 +73,7 @@
     assert_eq!(found("b"), Some("one"));
     assert_eq!(found("c"), Some("two"));
     assert_eq!(found("d"), None);
-    assert!(!TenantTable::new(&[]).is_needed());
+    assert!(!TenantTable::new(&[]).requires_key());
 }
 
 #[test]
@@ -81,7 +84,7 @@
         unit,
     };
     assert_eq!(of(QuotaUnit::Requests).weight(500, 20), 1);
-    let tokens = of(QuotaUnit::Tokens { plain: 200 });
+    let tokens = of(QuotaUnit::Tokens { default_units: 200 });
     assert_eq!(tokens.weight(500, 20), 520);
     assert_eq!(tokens.weight(0, 0), 200);
 }
--- a/crates/services/tests/whole_fleet.rs
+++ b/crates/services/tests/whole_fleet.rs
@@ -27,7 +27,7 @@
             version: 1,
             adapters: Vec::new(),
         }],
-        copies: WeightCopies::default(),
+        cached_weights: CachedWeights::default(),
     }
 }
 
--- a/crates/simulation/src/group/mod.rs
+++ b/crates/simulation/src/group/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::checker::Violation;
 use crate::world::{Options, World};
-use courseshunt_membership::{JoinReply, JoinWay};
+use courseshunt_membership::{JoinReply, JoinStrategy};
 use courseshunt_types::{ControllerId, Timestamp};
 use people::Person;
 use std::collections::BTreeMap;
@@ -28,10 +28,10 @@
 }
 
 impl Way {
-    fn of_joiner(self) -> JoinWay {
+    fn of_joiner(self) -> JoinStrategy {
         match self {
-            Self::FollowAnswers => JoinWay::FollowAnswers,
-            Self::SeedsAlone | Self::PassOn => JoinWay::SeedsAlone,
+            Self::FollowAnswers => JoinStrategy::FollowReplies,
+            Self::SeedsAlone | Self::PassOn => JoinStrategy::SeedsOnly,
         }
     }
 }
--- a/crates/simulation/src/group/people.rs
+++ b/crates/simulation/src/group/people.rs
@@ -5,7 +5,7 @@
 use crate::world::{Event, World};
 use courseshunt_consensus::{Input, MembersView, MembershipChange, ProposalId, Role};
 use courseshunt_membership::{
-    Applicants, GroupView, JoinReply, Joiner, JoinerView, decide, next_to_record,
+    GroupView, JoinReply, JoinRequests, Joiner, JoinerView, next_address_to_record, next_change,
 };
 use courseshunt_state::{Command, CommandEnvelope};
 use courseshunt_types::{ClientId, ClientSequence, ControllerId, Term, Timestamp, UnixMillis};
@@ -30,7 +30,7 @@
     pub(super) stored: BTreeMap<ControllerId, SocketAddr>,
     pub(super) strangers: BTreeMap<ControllerId, (SocketAddr, u64)>,
     pub(super) joiner: Joiner,
-    pub(super) applicants: Applicants,
+    pub(super) applicants: JoinRequests,
     /// The term that it leads in, and since when.
     led: Option<(Term, Timestamp)>,
     pub(super) started_at: u64,
@@ -51,8 +51,8 @@
             book: BTreeMap::new(),
             stored: BTreeMap::new(),
             strangers: BTreeMap::new(),
-            joiner: Joiner::by(way.of_joiner()),
-            applicants: Applicants::default(),
+            joiner: Joiner::with_strategy(way.of_joiner()),
+            applicants: JoinRequests::default(),
             led: None,
             started_at,
             joined: false,
@@ -216,7 +216,7 @@
             return;
         };
         let Some(told) = answer else {
-            person.joiner.unanswered(address, now);
+            person.joiner.no_reply(address, now);
             return;
         };
         for (member, address) in &told.members {
@@ -224,7 +224,7 @@
                 person.book.insert(*member, *address);
             }
         }
-        person.joiner.answered(address, &told.reply, now);
+        person.joiner.reply_received(address, &told.reply, now);
     }
 
     /// Records a new member's address, then makes the change.
@@ -283,10 +283,10 @@
         person.stored = stored.collect();
         let known = person.known(self.options.way);
         let asking = JoinerView {
-            own: person.address,
+            own_address: person.address,
             leader_known: view.leader.is_some(),
             is_member: !view.members.membership.voters.is_empty(),
-            known: &known,
+            known_addresses: &known,
         };
         let due = person.joiner.due(asking, view.now);
         self.questions += due.len();
@@ -311,11 +311,11 @@
             .retain(|_, (_, met_at)| *met_at + MET_LATELY > now);
         for (stranger, (address, _)) in &person.strangers {
             person.book.insert(*stranger, *address);
-            person.applicants.note(*stranger, *address, view.now);
+            person.applicants.record(*stranger, *address, view.now);
         }
         let all = view.members.membership.all();
-        let joining = person.applicants.present(&all, view.now);
-        let change = decide(&GroupView {
+        let joining = person.applicants.pending(&all, view.now);
+        let change = next_change(&GroupView {
             own: id,
             members: &view.members,
             addresses: &person.book,
@@ -331,7 +331,7 @@
         view.leads?;
         let person = self.people.get(&id)?;
         let all = view.members.membership.all();
-        next_to_record(&all, &view.recorded, &person.book)
+        next_address_to_record(&all, &view.recorded, &person.book)
     }
 
     fn note_joined(&mut self, members: &BTreeSet<ControllerId>, now: u64) {
@@ -357,7 +357,7 @@
         person.book.insert(applicant, address);
         let leads = view.leads.is_some();
         if leads {
-            person.applicants.note(applicant, address, view.now);
+            person.applicants.record(applicant, address, view.now);
         }
         let members = view.members.membership.all().into_iter();
         let members = members.filter_map(|id| Some((id, *person.book.get(&id)?)));
--- a/crates/wire/src/earlier/mod.rs
+++ b/crates/wire/src/earlier/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::frame;
 use crate::message::Message;
-use courseshunt_services::{FeedMessage, MemberPlace, ReportMessage};
+use courseshunt_services::{FeedMessage, MemberLocation, ReportMessage};
 use message::Message as Earlier;
 
 /// A message as a whole frame of version 2; none: that build has no word for it.
@@ -157,11 +157,11 @@
             difference,
         },
         FeedMessage::Instances { changed, gone } => feed::FeedMessage::Instances { changed, gone },
-        FeedMessage::Part { instances, .. } => feed::FeedMessage::Instances {
+        FeedMessage::Bucket { instances, .. } => feed::FeedMessage::Instances {
             changed: instances,
             gone: Vec::new(),
         },
-        FeedMessage::Live(live) => feed::FeedMessage::Live(live),
+        FeedMessage::LiveInstances(live) => feed::FeedMessage::Live(live),
         FeedMessage::Usage {
             configuration,
             routers,
@@ -171,7 +171,7 @@
             routers,
             instances,
         },
-        FeedMessage::Awaiting
+        FeedMessage::AwaitingLeader
         | FeedMessage::Leadership { .. }
         | FeedMessage::Digests(_)
         | FeedMessage::Quotas { .. }
@@ -186,7 +186,7 @@
     match message {
         feed::FeedMessage::NotLeader { leader } => FeedMessage::NoFeed { leader },
         feed::FeedMessage::Members(addresses) => {
-            let members = addresses.into_iter().map(|address| MemberPlace {
+            let members = addresses.into_iter().map(|address| MemberLocation {
                 address,
                 zone: None,
             });
@@ -204,7 +204,7 @@
             difference,
         },
         feed::FeedMessage::Instances { changed, gone } => FeedMessage::Instances { changed, gone },
-        feed::FeedMessage::Live(live) => FeedMessage::Live(live),
+        feed::FeedMessage::Live(live) => FeedMessage::LiveInstances(live),
         feed::FeedMessage::Usage {
             configuration,
             routers,
@@ -235,7 +235,7 @@
             unreachable,
         },
         ReportMessage::TenantUse { .. }
-        | ReportMessage::AskQuotas(_)
+        | ReportMessage::QuotaQueries(_)
         | ReportMessage::Limits { .. }
         | ReportMessage::Compare(_)
         | ReportMessage::Ends { .. } => return None,
--- a/crates/wire/src/traffic.rs
+++ b/crates/wire/src/traffic.rs
@@ -102,8 +102,8 @@
     match feed {
         FeedMessage::Configuration { .. } => 14,
         FeedMessage::Instances { .. }
-        | FeedMessage::Part { .. }
-        | FeedMessage::Live(_)
+        | FeedMessage::Bucket { .. }
+        | FeedMessage::LiveInstances(_)
         | FeedMessage::Digests(_) => 15,
         FeedMessage::Usage { .. }
         | FeedMessage::Quotas { .. }
@@ -112,7 +112,7 @@
         | FeedMessage::LimitAnswers(_)
         | FeedMessage::Quarantine { .. } => 16,
         FeedMessage::NoFeed { .. }
-        | FeedMessage::Awaiting
+        | FeedMessage::AwaitingLeader
         | FeedMessage::Leadership { .. }
         | FeedMessage::Members(_) => 12,
     }
--- a/crates/wire/tests/earlier_build.rs
+++ b/crates/wire/tests/earlier_build.rs
@@ -3,7 +3,7 @@
 
 use courseshunt_consensus::{ConsensusMessage, MembershipChange};
 use courseshunt_services::{
-    FeedMessage, InstanceDigests, InstanceState, InstanceUsage, InstanceView, MemberPlace,
+    FeedMessage, InstanceDigests, InstanceState, InstanceUsage, InstanceView, MemberLocation,
     ModelDemand, RelayedRegistration, ReportMessage, ResidentModel,
 };
 use courseshunt_types::{ControllerId, GroupId, LogIndex, Millis, ModelName, RunnerId, Term, Zone};
@@ -88,7 +88,7 @@
 }
 
 fn feed() -> Vec<(&'static [u8], Message)> {
-    let place = |address: &str| MemberPlace {
+    let place = |address: &str| MemberLocation {
         address: address.to_owned(),
         zone: None,
     };
@@ -121,7 +121,7 @@
         ),
         (
             recorded!("live"),
-            FeedMessage::Live(vec![RunnerId::from("a")]),
+            FeedMessage::LiveInstances(vec![RunnerId::from("a")]),
         ),
         (
             recorded!("usage"),
@@ -156,10 +156,10 @@
         last_term: Term(2),
         transfer: false,
     };
-    let again = RelayedRegistration::Again {
+    let again = RelayedRegistration::Unchanged {
         id: RunnerId::from("a"),
         sequence: 8,
-        repeats: 7,
+        previous_sequence: 7,
     };
     vec![
         (
@@ -269,10 +269,10 @@
 #[test]
 fn productions_build_is_not_sent_what_it_has_no_word_for() {
     let unknown = [
-        Message::ServiceFeed(FeedMessage::Awaiting),
+        Message::ServiceFeed(FeedMessage::AwaitingLeader),
         Message::ServiceFeed(FeedMessage::Limits(Vec::new())),
         Message::ServiceFeed(FeedMessage::Digests(InstanceDigests::default())),
-        Message::ServiceReport(ReportMessage::AskQuotas(Vec::new())),
+        Message::ServiceReport(ReportMessage::QuotaQueries(Vec::new())),
         Message::RelayedReports(Vec::new()),
     ];
     for message in unknown {
