--- a/crates/services/src/budget.rs
+++ b/crates/services/src/budget.rs
@@ -1,44 +1,45 @@
-//! The budget for sending requests once more, held in common by all routers.
+//! Retry budget that all routers share.
 //!
-//! Each router spends at most its share: a part of its own recent requests and
-//! an equal part of the common slack. So the sum over all routers keeps the
-//! common bound without messages for each retry.
+//! Each router spends at most its local share: a fraction of its own recent requests and an
+//! equal share of the common slack. The sum over all routers therefore stays within the common
+//! budget without a message for each retry.
 //!
-//! A share is rarely a whole number, and under one at a router of a large fleet. Rounded down
-//! everywhere, most of the common budget would lie idle; so each router rounds by a draw of its
-//! own, up as often as the fraction says. The draw holds for several windows and is made
-//! anew at a moment of the router's own: drawn for each retry, or by all at once, it would let
-//! a window have more than the shares. Where the unused part of the budget does not cover how
-//! far the sum of so many draws may stray, all round down.
+//! A share is rarely a whole number, and at a router of a large fleet it is below one. Rounded
+//! down at every router, most of the common budget would stay unused. Each router therefore
+//! rounds up with a probability equal to the fraction, by a pseudo-random draw of its own. A
+//! draw is kept for several windows and renewed at a time that differs between routers: with a
+//! new draw for each retry, or at all routers at once, a window could exceed the shares. Where
+//! the unused fraction of the budget does not cover the deviation of the sum of all draws, all
+//! routers round down.
 
 use courseshunt_types::{Millis, Timestamp};
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Part of the allowance that is used; the rest covers routers whose number is
-/// known late and windows that slide.
-const USED_PART: f64 = 0.6;
-/// Windows for which a draw holds: of the routers one in so many has two draws in a window.
-const DRAW_WINDOWS: u64 = 6;
-/// Standard deviations of the sum of all draws (at most half the root of their number) that
-/// the unused part of the budget has to cover.
+/// Fraction of the share that is used. The rest covers changes of the number of routers that
+/// are received late, and sliding windows.
+const USED_FRACTION: f64 = 0.6;
+/// Windows for which a draw is kept: in each window, one router in this number has two draws.
+const WINDOWS_PER_DRAW: u64 = 6;
+/// Standard deviations of the sum of all draws that the unused fraction of the budget has to
+/// cover. One is at most half the square root of the number of routers.
 const COVERED_DEVIATIONS: f64 = 4.0;
 
-/// One service's budget at one router.
+/// Retry budget of one service at one router.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
     slack: f64,
     window: Millis,
-    /// Sets this router's draws apart from those of others.
+    /// Makes this router's draws independent of those of other routers.
     seed: u64,
     requests: VecDeque<Timestamp>,
     retries: VecDeque<Timestamp>,
 }
 
 impl RetryBudget {
-    /// A budget of `ratio` retries for each request plus `slack` in a `window`,
-    /// over all routers.
+    /// Creates a budget of `ratio` retries per request plus `slack` retries in each `window`,
+    /// summed over all routers.
     #[must_use]
     pub fn new(ratio: f64, slack: f64, window: Millis) -> Self {
         Self {
@@ -51,44 +52,46 @@
         }
     }
 
-    /// Gives this router's draws a seed of their own.
+    /// Sets the seed of this router's draws.
     #[must_use]
     pub fn seeded(self, seed: u64) -> Self {
         Self { seed, ..self }
     }
 
-    /// Notes a client's request.
+    /// Records a client request.
     pub fn record_request(&mut self, now: Timestamp) {
-        self.forget(now);
+        self.expire(now);
         self.requests.push_back(now);
     }
 
-    /// Takes one retry out of the budget; returns whether it may be made.
+    /// Takes one retry from the budget; returns whether it may be sent. `routers` is the number
+    /// of live routers.
     pub fn take(&mut self, routers: u32, now: Timestamp) -> bool {
-        self.forget(now);
+        self.expire(now);
         let routers = f64::from(routers.max(1));
         let share = self.ratio * self.requests.len() as f64 + self.slack / routers;
-        // Others are taken to have as much.
-        let unused = (1.0 - USED_PART) * share * routers;
+        // Assumes that the other routers have equal shares.
+        let unused = (1.0 - USED_FRACTION) * share * routers;
         let rounding = match unused >= COVERED_DEVIATIONS * routers.sqrt() / 2.0 {
             true => self.draw(now),
             false => 0.0,
         };
-        if self.retries.len() as f64 + 1.0 > USED_PART * share + rounding {
+        if self.retries.len() as f64 + 1.0 > USED_FRACTION * share + rounding {
             return false;
         }
         self.retries.push_back(now);
         true
     }
 
-    /// From 0 up to 1, evenly over routers: what this one's share is rounded up by at `now`.
+    /// The amount that is added to this router's share at `now` before it is rounded down:
+    /// uniform over routers in [0, 1].
     fn draw(&self, now: Timestamp) -> f64 {
-        let length = (self.window.0 * DRAW_WINDOWS).max(1);
-        let number = (now + Millis(self.seed % length)).stretch(Millis(length));
-        xxh3_64_with_seed(&number.to_le_bytes(), self.seed) as f64 / u64::MAX as f64
+        let period_ms = (self.window.0 * WINDOWS_PER_DRAW).max(1);
+        let period = (now + Millis(self.seed % period_ms)).stretch(Millis(period_ms));
+        xxh3_64_with_seed(&period.to_le_bytes(), self.seed) as f64 / u64::MAX as f64
     }
 
-    fn forget(&mut self, now: Timestamp) {
+    fn expire(&mut self, now: Timestamp) {
         let oldest = now - self.window;
         while self.requests.front().is_some_and(|at| *at < oldest) {
             self.requests.pop_front();
--- a/crates/services/src/configuration.rs
+++ b/crates/services/src/configuration.rs
@@ -1,70 +1,70 @@
-//! The declared configuration: routes, services and limits, as one document.
+//! The operator's configuration: routes, services, tenants and limits, as one document.
 
 use crate::tenants::Tenant;
 use courseshunt_types::{Millis, ModelName};
 use std::collections::BTreeMap;
 
-/// A whole configuration. The one with the highest number prevails.
+/// A complete configuration. The one with the highest number takes precedence.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ServiceConfiguration {
-    /// The operator's number; rises in uneven steps.
+    /// Version number set by the operator; increases, possibly with gaps.
     pub number: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// All tenants; where there are some, requests need a key.
+    /// All tenants. If any is declared, requests need a key.
     pub tenants: Vec<Tenant>,
-    /// What clients may send.
+    /// Limits on client requests.
     pub limits: ClientLimits,
 }
 
-/// What may be repeated.
+/// Whether a request may be retried, and the form of its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// May be executed more than once.
     Safe,
-    /// Runs at most once.
+    /// Executed at most once.
     Unsafe,
-    /// Runs at most once; the answer is a series of events.
+    /// Executed at most once; the answer is a stream of events.
     Streaming,
 }
 
-/// One part of a route's traffic.
+/// A service that receives a share of a route's traffic.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
     /// Name of the service.
     pub service: String,
-    /// Share of the traffic, relative to the other targets.
+    /// Share of the traffic, relative to the weights of the other targets.
     pub weight: f64,
 }
 
 /// One route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name, used in logs.
     pub name: String,
-    /// Host, in lower case, without a port.
+    /// Host in lower case, without a port.
     pub host: String,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be retried.
     pub kind: RequestKind,
-    /// Longest time that a request is held.
+    /// Maximum time for which a router holds a request.
     pub timeout: Millis,
-    /// Time within which an answer earns its full credit.
+    /// Latency objective: an answer within this time receives full credit.
     pub objective: Millis,
-    /// Longest pause between events that keeps a stream in time.
+    /// Longest gap between two events with which a stream meets its objective.
     pub event_gap_objective: Option<Millis>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Where requests go.
+    /// Services that receive the requests.
     pub targets: Vec<Target>,
-    /// Back ends that one client attempt may be sent to at the most.
+    /// Maximum number of back ends that one client attempt is sent to.
     pub max_attempts: u32,
-    /// Whether a broken stream may go on at another back end.
+    /// Whether an interrupted stream may be resumed at another back end.
     pub resumable: bool,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub public: bool,
 }
 
@@ -73,28 +73,28 @@
 pub struct Service {
     /// Name.
     pub name: String,
-    /// Connections that one instance accepts over all callers.
+    /// Maximum number of connections to one instance, over all callers.
     pub max_connections: u32,
-    /// Path of the instances' health check; `None` when the operator names none.
+    /// Path of the instances' health check; `None` without a health check.
     pub health_path: Option<String>,
-    /// Model engine of the instances; `None` for a plain HTTP service.
+    /// Model engine of the instances; `None` for a service without models.
     pub engine: Option<Engine>,
 }
 
-/// What the instances of a service with models can hold.
+/// Capacity of each instance of a service with models, and the models that it offers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Memory for weights and adapters, in MB.
+    /// Memory for the weights and adapters of loaded models, in MB.
     pub memory_mb: f64,
-    /// Adapters at once.
+    /// Maximum number of adapters loaded at the same time.
     pub adapter_slots: u32,
-    /// Loads that the weight store allows in a second, over all instances.
+    /// Loads per second that the weight store allows, over all instances.
     pub loads_per_second: f64,
-    /// Memory of an instance for copies of weights that it does not hold, in MB.
+    /// Host memory of an instance for cached weights of models that are not loaded, in MB.
     pub cache_memory_mb: f64,
-    /// Disk of an instance for copies of weights, in MB.
+    /// Disk space of an instance for cached weights, in MB.
     pub cache_disk_mb: f64,
     /// All models, by name.
     pub models: BTreeMap<String, ModelSpecification>,
@@ -108,35 +108,35 @@
     }
 }
 
-/// One model that a service offers.
+/// A model that a service offers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelSpecification {
     /// Name.
     pub name: ModelName,
-    /// Memory of the weights, in MB.
+    /// Memory that the weights need, in MB.
     pub memory_mb: f64,
-    /// Time of a load from the weight store.
+    /// Load time from the weight store.
     pub load_time: Millis,
-    /// Time of a load from the instance's memory of copies.
+    /// Load time from weights cached in the instance's host memory.
     pub warm_load_time: Millis,
-    /// Time of a load from the instance's disk.
+    /// Load time from weights cached on the instance's disk.
     pub disk_load_time: Millis,
-    /// Its adapters.
+    /// Names of its adapters.
     pub adapters: Vec<String>,
-    /// Memory of one adapter, in MB.
+    /// Memory that one adapter needs, in MB.
     pub adapter_mb: f64,
 }
 
-/// Limits on what clients send.
+/// Limits on client requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Longest header, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a request's head.
+    /// Maximum time until a request head is complete.
     pub header_timeout: Millis,
-    /// Longest rest of a connection.
+    /// Maximum time that a connection stays idle.
     pub idle_timeout: Millis,
 }
 
--- a/crates/services/src/content.rs
+++ b/crates/services/src/content.rs
@@ -1,26 +1,28 @@
-//! What a request asks, apart from its identity and its headers: requests of one caller
-//! that ask the same have the same digest at every router.
+//! The content of a request without its identity and its headers.
+//!
+//! Invariant: requests of one tenant with equal content have the same digest at every router.
 
 use courseshunt_types::Digest;
 
-/// See the module.
+/// The parts of a request that its content digest covers.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContent<'a> {
-    /// Whose it is; none where no key is needed. In the digest, so that no tenant's
-    /// requests tell anything about another's.
+    /// Name of the tenant; `None` where no key is needed. Part of the digest, so that the
+    /// requests of one tenant reveal nothing about those of another.
     pub tenant: Option<&'a str>,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host that it is sent to, in any case.
+    /// Requested host, in upper or lower case.
     pub host: &'a str,
-    /// Path and query.
+    /// Path and query string.
     pub target: &'a str,
-    /// Body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
 impl RequestContent<'_> {
-    /// The digest. Each part goes in with its length, so that parts can't run together.
+    /// Digest of the content. Each part is hashed with its length, so that different divisions
+    /// of the same bytes give different digests.
     #[must_use]
     pub fn digest(&self) -> Digest {
         let host = self.host.to_ascii_lowercase();
--- a/crates/services/src/decay.rs
+++ b/crates/services/src/decay.rs
@@ -1,9 +1,9 @@
-//! A sum that forgets what lies back.
+//! A sum whose value decays exponentially with time.
 
 use courseshunt_types::Timestamp;
 
-/// See the module. The time constant, in milliseconds, is the same in all calls
-/// for one sum.
+/// An exponentially decaying sum. The time constant, in milliseconds, must be the same in all
+/// calls on one sum.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct DecayingSum {
     value: f64,
@@ -11,19 +11,19 @@
 }
 
 impl DecayingSum {
-    /// The sum now.
+    /// The decayed sum at `now`.
     pub(crate) fn at(self, now: Timestamp, constant_ms: f64) -> f64 {
-        let passed = now.since(self.updated).0 as f64;
-        self.value * (-passed / constant_ms).exp()
+        let elapsed_ms = now.since(self.updated).0 as f64;
+        self.value * (-elapsed_ms / constant_ms).exp()
     }
 
-    /// Adds to it.
+    /// Adds an amount at `now`.
     pub(crate) fn add(&mut self, amount: f64, now: Timestamp, constant_ms: f64) {
         self.value = self.at(now, constant_ms) + amount;
         self.updated = now;
     }
 
-    /// The amount added in a second, over about the time constant.
+    /// The amount added per second, averaged over about one time constant.
     pub(crate) fn per_second(self, now: Timestamp, constant_ms: f64) -> f64 {
         self.at(now, constant_ms) * 1_000.0 / constant_ms
     }
--- a/crates/services/src/digest.rs
+++ b/crates/services/src/digest.rs
@@ -1,30 +1,33 @@
-//! Digests of what a router knows of the instances, so that a leader sends it
-//! only what differs.
+//! Digests of sets of instance views, so that a controller sends a follower only the views
+//! that differ.
 //!
-//! Cost: one hash for each instance; a digest has a fixed size.
+//! Invariant: equal sets of views have equal digests, in any order and whatever time their
+//! loads still take.
+//!
+//! Cost: one hash for each instance; the digests have a fixed size.
 
 use crate::instance::{InstanceState, InstanceView};
 use courseshunt_types::RunnerId;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-/// Parts into which the instances are divided by a hash of their identity.
+/// Number of buckets into which instances are divided by a hash of their identity.
 pub const BUCKET_COUNT: usize = 64;
 
-/// The part that an instance belongs to.
+/// The bucket of an instance, below [`BUCKET_COUNT`].
 #[must_use]
 pub fn bucket_of(id: &RunnerId) -> usize {
     let hash = xxh3_64(id.as_str().as_bytes());
     usize::try_from(hash % BUCKET_COUNT as u64).unwrap_or_default()
 }
 
-/// Digest of a configuration's document.
+/// Digest of a configuration document.
 #[must_use]
 pub fn document_digest(document: &[u8]) -> u64 {
     xxh3_64(document)
 }
 
-/// One digest for each part; equal digests stand for equal views, but for the
-/// time that loads still take.
+/// One digest for each bucket. Equal digests mean equal views, except for the remaining time
+/// of loads, which is not hashed.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct InstanceDigests(Vec<u64>);
 
@@ -35,7 +38,7 @@
 }
 
 impl InstanceDigests {
-    /// The digests of these views, in any order.
+    /// Computes the digests of a set of views, in any order.
     pub fn of<'a>(views: impl IntoIterator<Item = &'a InstanceView>) -> Self {
         let mut digests = Self::default();
         for view in views {
@@ -44,15 +47,16 @@
         digests
     }
 
-    /// Puts a view in, or takes it out again.
+    /// Adds a view, or removes one that was added before.
     pub fn toggle(&mut self, view: &InstanceView) {
         self.0[bucket_of(&view.id)] ^= digest(view);
     }
 
-    /// Parts in which the other differs.
+    /// Buckets whose digest differs from that of `other`.
     pub fn differing_buckets<'a>(&'a self, other: &'a Self) -> impl Iterator<Item = usize> + 'a {
-        let own = self.0.iter().enumerate();
-        own.filter(|(bucket, digest)| other.0.get(*bucket) != Some(*digest))
+        let digests = self.0.iter().enumerate();
+        digests
+            .filter(|(bucket, digest)| other.0.get(*bucket) != Some(*digest))
             .map(|(bucket, _)| bucket)
     }
 }
--- a/crates/services/src/feed.rs
+++ b/crates/services/src/feed.rs
@@ -1,11 +1,11 @@
 //! Messages between controllers and routers.
 //!
-//! The leading controller feeds the others, and each controller feeds the routers that
-//! follow it; reports go the same way back. So what any process sends grows with its own
-//! followers, not with the routers of the fleet.
+//! The leading controller sends a feed to the other controllers, and each controller sends a
+//! feed to the routers that subscribe to it; reports take the same path back. What a process
+//! sends therefore grows with the number of its own followers, not with all routers.
 //!
-//! Bounds: a router's report is proportional to the instances that it uses and
-//! the models that it was asked for, not to the fleet.
+//! Bounds: the size of a router's report is proportional to the instances that it uses and the
+//! models that its requests name, not to the fleet.
 
 use crate::digest::InstanceDigests;
 use crate::instance::InstanceView;
@@ -14,248 +14,255 @@
 use crate::quota::{QuotaAnswer, QuotaAsk, TenantStanding, TenantUse};
 use courseshunt_types::{Digest, Millis, RunnerId, Zone};
 
-/// Time between messages about the use of instances, either way.
+/// Shortest time between messages about the use of instances, in either direction.
 const USAGE_INTERVAL: Millis = Millis(120);
-/// Routers at this rate; with more, messages are rarer, down to a bound.
+/// Number of routers up to which the shortest interval applies. With more routers the interval
+/// grows, up to a maximum factor.
 const ROUTERS_AT_FULL_RATE: u32 = 16;
-const SLOWEST_FACTOR: u32 = 2;
-/// The same where sums are long and go to many: the leader writes each instance in
-/// use for each router.
-const SLOWEST_FACTOR_OF_MANY: u32 = 4;
-/// Routers times instances from which on that holds.
-const MANY_ENTRIES: u64 = 100_000;
+/// Maximum factor of the interval.
+const MAX_INTERVAL_FACTOR: u32 = 2;
+/// Maximum factor of the interval in a large fleet: the leader writes an entry for each
+/// instance in use to each router.
+const MAX_INTERVAL_FACTOR_LARGE_FLEET: u32 = 4;
+/// Product of the numbers of routers and instances from which a fleet counts as large.
+const LARGE_FLEET_ENTRIES: u64 = 100_000;
 
-/// Routers for each millisecond between messages on changed instances.
-const ROUTERS_IN_A_MILLISECOND: u64 = 2;
-/// Longest time between such messages.
-const LONGEST_INSTANCES_INTERVAL: Millis = Millis(250);
+/// Number of routers that add one millisecond to the time between messages about changed
+/// instances.
+const ROUTERS_PER_INTERVAL_MS: u64 = 2;
+/// Maximum time between messages about changed instances.
+const MAX_INSTANCES_INTERVAL: Millis = Millis(250);
 
-/// Time between a router's reports, and between the leader's sums: longer with
-/// many routers and instances, so that the leader's work stays bounded.
+/// Time between the reports of a router, and between the leader's messages with the sums over
+/// all routers. It grows with the numbers of routers and instances, so that the leader's work
+/// stays bounded.
 #[must_use]
 pub fn usage_interval(routers: u32, instances: usize) -> Millis {
     let instances = u64::try_from(instances).unwrap_or(u64::MAX);
     let entries = u64::from(routers).saturating_mul(instances);
-    let slowest = match entries < MANY_ENTRIES {
-        true => SLOWEST_FACTOR,
-        false => SLOWEST_FACTOR_OF_MANY,
+    let max_factor = match entries < LARGE_FLEET_ENTRIES {
+        true => MAX_INTERVAL_FACTOR,
+        false => MAX_INTERVAL_FACTOR_LARGE_FLEET,
     };
     let factor = routers.div_ceil(ROUTERS_AT_FULL_RATE);
-    Millis(USAGE_INTERVAL.0 * u64::from(factor.clamp(1, slowest)))
+    Millis(USAGE_INTERVAL.0 * u64::from(factor.clamp(1, max_factor)))
 }
 
-/// Age of what a router is told of the others' use until it is told anew, about:
-/// half of the time between their reports, half of that between the leader's sums,
-/// and half of it again while it waits for the next.
+/// Approximate age of the usage of other routers that a router holds: half the time between
+/// their reports, half the time between the leader's sums, and half of it again until the next
+/// sum arrives.
 #[must_use]
 pub fn usage_lag(routers: u32, instances: usize) -> Millis {
     Millis(usage_interval(routers, instances).0 * 3 / 2)
 }
 
-/// Time between messages on changed instances: longer with many routers, since
-/// the leader sends each of them one.
+/// Time between messages about changed instances. It grows with the number of routers, since
+/// one message goes to each of them.
 #[must_use]
 pub fn instances_interval(routers: usize) -> Millis {
     let routers = u64::try_from(routers).unwrap_or(u64::MAX);
-    Millis((routers / ROUTERS_IN_A_MILLISECOND).min(LONGEST_INSTANCES_INTERVAL.0))
+    Millis((routers / ROUTERS_PER_INTERVAL_MS).min(MAX_INSTANCES_INTERVAL.0))
 }
 
-/// Requests of one router at one instance.
+/// Load of one router, or the sum over all routers, on one instance.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct InstanceUsage {
     /// The instance.
     pub instance: RunnerId,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub in_flight: u32,
-    /// Prompt tokens that are sent but not read yet.
+    /// Prompt tokens that were sent and are not processed yet.
     pub prompt_tokens: u32,
 }
 
-/// Demand for one model at one router, since its last report.
+/// Demand for one model at one router since the router's last report.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct ModelDemand {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The adapter, if any.
+    /// Name of the adapter, if requested.
     pub adapter: Option<String>,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub arrivals: u32,
-    /// Tokens that they have read, cached parts left out.
+    /// Prompt tokens sent to instances for processing, without cached prefixes.
     pub tokens: u32,
-    /// Shortest objective of the requests that arrived, in milliseconds; 0 when
-    /// none did.
+    /// Shortest latency objective of the requests that arrived, in milliseconds; 0 without
+    /// arrivals.
     pub objective_ms: u32,
-    /// Requests that an instance held and answered later than their objective.
+    /// Number of requests that an instance answered later than their objective.
     pub late: u32,
-    /// Requests that wait for an instance now.
+    /// Number of requests that are waiting for an instance.
     pub waiting: u32,
 }
 
-/// Where a member of the control group is.
+/// Address and zone of a member of the control group.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct MemberLocation {
     /// Wire address, `ip:port`.
     pub address: String,
-    /// Its zone, where that is known.
+    /// Zone, if known.
     pub zone: Option<Zone>,
 }
 
-/// Controller to router.
+/// Message of a feed: from a controller to a router, or from the leader to a controller.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum FeedMessage {
-    /// This controller has no feed now; another one may have it.
+    /// The sender has no feed to offer; another controller may have one.
     NoFeed {
         /// The leader's wire address, if known.
         leader: Option<String>,
     },
-    /// This controller has lost its leader and waits for the next one; not a leader's word.
+    /// The sender has lost its leader and waits for the next one. Not sent on behalf of a leader.
     AwaitingLeader,
-    /// Whose feed this is from now on; the first message of each feed.
+    /// Identifies the leader whose feed follows; the first message of each feed.
     Leadership {
-        /// The leader's term.
+        /// Term of the leader.
         term: u64,
-        /// Whether the leader has heard from all instances that are there.
+        /// Whether the leader has received a registration of each live instance.
         settled: bool,
     },
-    /// Where the members of the group are.
+    /// Locations of the members of the control group.
     Members(Vec<MemberLocation>),
-    /// A committed configuration, in the operator's own form, as its difference
-    /// from an older one.
+    /// A committed configuration document as sent by the operator, encoded as its difference
+    /// from an older document.
     Configuration {
-        /// Its number.
+        /// Number of the configuration.
         number: u64,
         /// Number of the older document; 0 for the empty one.
         base: u64,
         /// Digest of the document.
         digest: u64,
-        /// What makes the document out of the older one.
+        /// Difference that produces the document when applied to the older one.
         difference: Vec<u8>,
     },
-    /// Instances that changed, and those that are gone.
+    /// New, changed and removed instances.
     Instances {
-        /// New or changed.
+        /// New or changed instances.
         changed: Vec<InstanceView>,
-        /// No longer there.
+        /// Removed instances.
         gone: Vec<RunnerId>,
     },
-    /// The instances of one part, where the follower's differ.
+    /// The instances of one bucket in which the follower differs.
     Bucket {
-        /// The part, see [`crate::digest`].
+        /// Index of the bucket, see [`crate::digest`].
         bucket: u32,
-        /// All of its instances.
+        /// Instances in the bucket.
         instances: Vec<InstanceView>,
-        /// Whether others of this part are gone.
+        /// Whether the list is complete, so that other instances of the bucket are removed.
         complete: bool,
     },
-    /// All instances that are there; others are gone. From the leader to controllers.
+    /// Identities of all live instances; all others are removed. Sent by the leader to
+    /// controllers.
     LiveInstances(Vec<RunnerId>),
-    /// Digests of all instances that are there. A router whose own differ knows some from an
-    /// earlier feed that are gone: it sends [`ReportMessage::Compare`].
+    /// Digests of all live instances. A router whose own digests differ still holds removed
+    /// instances from an earlier feed and answers with [`ReportMessage::Compare`].
     Digests(InstanceDigests),
-    /// What all routers use, this one included, and how many there are.
+    /// Usage of all routers, including the receiver, and the number of routers.
     Usage {
         /// Number of the configuration in force at the leader.
         configuration: u64,
-        /// Live routers.
+        /// Number of live routers.
         routers: u32,
         /// Usage summed over all routers.
         instances: Vec<InstanceUsage>,
     },
-    /// How the accounts of tenants stand; those left out are free.
+    /// Status of the tenants' accounts. A tenant that is left out is not restricted.
     Quotas {
-        /// The leadership that keeps these accounts.
+        /// Epoch (leadership) that these accounts belong to.
         epoch: u64,
-        /// Accounts that were used lately.
+        /// Accounts with recent use.
         account_statuses: Vec<TenantStanding>,
     },
-    /// Answers to a router's questions.
+    /// Answers to [`ReportMessage::QuotaQueries`].
     QuotaAnswers(Vec<QuotaAnswer>),
-    /// Limits that instances name, and those that ended lately; what is left out is as it was.
+    /// Rate limits that instances report, and limits that ended recently. An instance that is
+    /// left out is unchanged.
     Limits(Vec<LimitWord>),
-    /// Answers to a router's questions on such limits.
+    /// Answers to the queries of [`ReportMessage::Limits`].
     LimitAnswers(Vec<LimitAnswer>),
-    /// Contents under which instances have ended; whole, in place of the last word.
+    /// Contents of requests that ended instances. The lists are complete and replace those of
+    /// the message before.
     Quarantine {
-        /// Contents that routers vouch for if they can.
+        /// Contents that are suspected; a router reports those that were answered.
         suspected: Vec<Digest>,
-        /// Contents that are sent nowhere.
+        /// Contents whose requests are sent to no instance.
         quarantined: Vec<Digest>,
     },
 }
 
-/// What a controller passes on to the leader of a router that follows it.
+/// Update about a router that a controller relays to the leader.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct RelayedReport {
-    /// The router's name.
+    /// Name of the router.
     pub router: String,
-    /// The router's connection; a later one has another number.
+    /// Number of the router's connection; each connection has a different one.
     pub session: u64,
-    /// What there is to tell.
+    /// The update.
     pub update: RouterUpdate,
 }
 
-/// See [`RelayedReport`].
+/// Change in the state of a router, see [`RelayedReport`].
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum RouterUpdate {
-    /// It follows the controller.
+    /// The router has subscribed to the controller's feed.
     Connected {
-        /// Number of the configuration in force there, 0 for none.
+        /// Number of the configuration in force at the router, 0 for none.
         configuration: u64,
     },
-    /// What it reports.
+    /// A report of the router.
     Report(ReportMessage),
-    /// It follows the controller no more.
+    /// The router's subscription has ended.
     Disconnected,
 }
 
-/// Router to controller.
+/// Message of a router to the controller that feeds it.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum ReportMessage {
-    /// Asks for the feed.
+    /// Subscribes to the feed.
     Subscribe {
         /// Number of the configuration in force at the router, 0 for none.
         number: u64,
-        /// What the router knows of the instances.
+        /// Digests of the instances that the router holds.
         known: InstanceDigests,
     },
-    /// What the router uses and is asked for.
+    /// Usage of instances and demand for models at the router.
     Usage {
         /// Number of the configuration in force at the router, 0 for none.
         configuration: u64,
-        /// At each instance with requests under way.
+        /// One entry for each instance with requests in flight.
         instances: Vec<InstanceUsage>,
-        /// For each model asked for since the last report or waited for.
+        /// One entry for each model with arrivals since the last report or with waiting requests.
         demand: Vec<ModelDemand>,
-        /// Instances that could not be reached lately.
+        /// Instances that could not be reached recently.
         unreachable: Vec<RunnerId>,
-        /// Instances that are fed as ready and told the router that they leave.
+        /// Instances that are ready in the feed and have announced to the router that they leave.
         leaving: Vec<RunnerId>,
     },
-    /// What the router used of tenants' limits and has not told yet.
+    /// Use of tenant quotas that the router has not reported yet.
     TenantUse {
-        /// The leadership that it is told to.
+        /// Epoch (leadership) that the use is reported to.
         epoch: u64,
-        /// By tenant and time.
+        /// Use by tenant and time.
         uses: Vec<TenantUse>,
     },
-    /// Whether requests are within their tenants' limits.
+    /// Asks whether requests are within the quotas of their tenants.
     QuotaQueries(Vec<QuotaAsk>),
-    /// What instances said of their limits, and whether requests are within them.
+    /// Rate limits that instances reported, and queries whether requests are within them.
     Limits {
-        /// What the leader was not told yet.
+        /// Limits not yet reported to the leader.
         reports: Vec<LimitWord>,
-        /// Questions.
+        /// Queries, one for each request.
         queries: Vec<LimitAsk>,
     },
-    /// Asks for the parts in which the router's instances differ.
+    /// Asks for the buckets in which the router's digests differ.
     Compare(InstanceDigests),
-    /// What the router has seen of contents under which instances ended.
+    /// Observations about contents of requests that ended instances.
     Ends {
-        /// Instances that ended while they had a request.
+        /// Instances that ended with a request of the router in flight.
         ends: Vec<InstanceEnd>,
-        /// Suspected contents that were answered.
+        /// Suspected contents whose requests were answered.
         answered: Vec<Digest>,
     },
 }
--- a/crates/services/src/instance.rs
+++ b/crates/services/src/instance.rs
@@ -1,97 +1,97 @@
-//! Back-end instances, as they register and as routers see them.
+//! Back-end instances: their registrations, and the views of them that routers hold.
 
 use courseshunt_types::{Millis, ModelName, RunnerId, Zone};
 
-/// Whether an instance takes new work.
+/// Whether an instance accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum InstanceState {
-    /// Takes work.
+    /// Accepts new requests.
     Ready,
-    /// Finishes what it has.
+    /// Finishes its requests in flight and accepts no new ones.
     Draining,
 }
 
-/// A model that an instance holds.
+/// A model that is loaded on an instance.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct ResidentModel {
     /// Name.
     pub name: ModelName,
     /// Version of the weights.
     pub version: u64,
-    /// Adapters of the model.
+    /// Loaded adapters of the model.
     pub adapters: Vec<String>,
 }
 
-/// What an instance says about itself.
+/// State of an instance as it registers with a controller.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Registration {
-    /// Identity of this incarnation; a restart has another.
+    /// Identity of this incarnation; a restarted instance has a new one.
     pub id: RunnerId,
-    /// Its service.
+    /// Name of its service.
     pub service: String,
-    /// `ip:port` of its interface.
+    /// Address of its HTTP interface, `ip:port`.
     pub address: String,
     /// Its zone.
     pub zone: Zone,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: InstanceState,
-    /// Rises with each registration, so that a late one is known.
+    /// Increases with each registration, so that a delayed one can be recognised.
     pub sequence: u64,
-    /// Time left before it is gone, if it is taken away.
+    /// Time until the instance is terminated, if that has been announced.
     pub remaining: Option<Millis>,
-    /// Models held.
+    /// Loaded models.
     pub models: Vec<ResidentModel>,
     /// Weights that it can load without the weight store.
     pub cached_weights: CachedWeights,
 }
 
-/// Copies of weights that an instance keeps besides the models it holds.
+/// Weights that an instance has cached in addition to its loaded models.
 #[derive(
     Debug, Clone, Default, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
 pub struct CachedWeights {
-    /// Models of which it has a copy in its own memory.
+    /// Models whose weights are cached in host memory.
     pub in_memory: Vec<ModelName>,
-    /// Models of which it has a copy on its own disk.
+    /// Models whose weights are cached on local disk.
     pub on_disk: Vec<ModelName>,
 }
 
-/// What a router needs to know about an instance.
+/// View of an instance that is sent to routers.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct InstanceView {
     /// Identity of this incarnation.
     pub id: RunnerId,
-    /// Its service.
+    /// Name of its service.
     pub service: String,
-    /// `ip:port` of its interface.
+    /// Address of its HTTP interface, `ip:port`.
     pub address: String,
     /// Its zone.
     pub zone: Zone,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: InstanceState,
-    /// Models that requests may be sent for.
+    /// Models for which it accepts requests.
     pub models: Vec<ResidentModel>,
-    /// Models being loaded, with the time until then.
+    /// Models that are being loaded, with the remaining load time.
     pub loading: Vec<(ModelName, Millis)>,
 }
 
 impl InstanceView {
-    /// The held model of this name.
+    /// The loaded model of this name.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<&ResidentModel> {
         self.models.iter().find(|model| model.name.as_str() == name)
     }
 
-    /// Whether it holds the model, and the adapter if one is named.
+    /// Whether the model is loaded, and the adapter if one is named.
     #[must_use]
     pub fn holds(&self, model: &str, adapter: Option<&str>) -> bool {
-        let Some(held) = self.model(model) else {
+        let Some(loaded) = self.model(model) else {
             return false;
         };
-        adapter.is_none_or(|adapter| held.adapters.iter().any(|one| one == adapter))
+        adapter.is_none_or(|adapter| loaded.adapters.iter().any(|one| one == adapter))
     }
 }
--- a/crates/services/src/instance_directory.rs
+++ b/crates/services/src/instance_directory.rs
@@ -1,11 +1,11 @@
-//! The instances as a process knows them from its feed, in the parts in which feeds are
-//! compared.
+//! The instances that a process has received from its feed, divided into the buckets in which
+//! directories are compared.
 //!
-//! Invariant: the digests are those of the views that are held. A process that takes over
-//! what [`InstanceDirectory::change`] returns holds the same views.
+//! Invariant: the digests are those of the held views. A follower that applies the result of
+//! [`InstanceDirectory::change`] holds the same views.
 //!
-//! Cost: proportional to what changes; the digests of 10,000 instances are never computed
-//! anew.
+//! Cost: proportional to the number of changed views; the digests of 10,000 instances are never
+//! recomputed as a whole.
 
 use crate::digest::{BUCKET_COUNT, InstanceDigests, bucket_of};
 use crate::instance::InstanceView;
@@ -14,12 +14,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// See the module.
+/// Instance views by identity, with their digests and indices.
 #[derive(Debug, Clone)]
 pub struct InstanceDirectory {
     views: BTreeMap<RunnerId, Arc<InstanceView>>,
     index: InstanceIndex,
-    parts: Vec<BTreeSet<RunnerId>>,
+    buckets: Vec<BTreeSet<RunnerId>>,
     digests: InstanceDigests,
 }
 
@@ -28,23 +28,23 @@
         Self {
             views: BTreeMap::new(),
             index: InstanceIndex::default(),
-            parts: vec![BTreeSet::new(); BUCKET_COUNT],
+            buckets: vec![BTreeSet::new(); BUCKET_COUNT],
             digests: InstanceDigests::default(),
         }
     }
 }
 
-/// What a follower has to be told.
+/// Changes to send to a follower.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct InstanceChanges {
-    /// New or changed.
+    /// New or changed instances.
     pub changed: Vec<InstanceView>,
-    /// No longer there.
+    /// Removed instances.
     pub gone: Vec<RunnerId>,
 }
 
 impl InstanceChanges {
-    /// Whether there is nothing to tell.
+    /// Whether there is nothing to send.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.changed.is_empty() && self.gone.is_empty()
@@ -52,35 +52,36 @@
 }
 
 impl InstanceDirectory {
-    /// Takes changes over; returns what followers lack. An instance that is gone is told
-    /// also where it is not known here: a follower may know it from an earlier feed.
+    /// Applies changes; returns those that followers need. A removed instance is returned even
+    /// if it is not held here, since a follower may hold it from an earlier feed.
     pub fn change(&mut self, changed: Vec<InstanceView>, gone: Vec<RunnerId>) -> InstanceChanges {
-        let mut news = Vec::with_capacity(changed.len());
+        let mut updated = Vec::with_capacity(changed.len());
         for view in changed {
             if self.put(&view) {
-                news.push(view);
+                updated.push(view);
             }
         }
         for id in &gone {
             self.remove(id);
         }
         InstanceChanges {
-            changed: news,
+            changed: updated,
             gone,
         }
     }
 
-    /// Takes the instances of a part over; where that is `complete`, others of it are gone.
+    /// Applies the instances of a bucket; if they are `complete`, other instances of the bucket
+    /// are removed. Returns the changes that followers need.
     pub fn set_bucket(
         &mut self,
-        part: usize,
+        bucket: usize,
         instances: Vec<InstanceView>,
         complete: bool,
     ) -> InstanceChanges {
-        let gone = match self.parts.get(part) {
-            Some(known) if complete => {
+        let gone = match self.buckets.get(bucket) {
+            Some(held) if complete => {
                 let present: BTreeSet<&RunnerId> = instances.iter().map(|one| &one.id).collect();
-                let gone = known.iter().filter(|id| !present.contains(id));
+                let gone = held.iter().filter(|id| !present.contains(id));
                 gone.cloned().collect()
             }
             _ => Vec::new(),
@@ -88,28 +89,28 @@
         self.change(instances, gone)
     }
 
-    /// Takes over which instances are there; returns those that are no more.
+    /// Removes all instances that are not in `live`; returns the removed ones.
     pub fn keep(&mut self, live: &[RunnerId]) -> Vec<RunnerId> {
         let live: BTreeSet<&RunnerId> = live.iter().collect();
-        let known = self.views.keys();
-        let gone: Vec<RunnerId> = known.filter(|id| !live.contains(id)).cloned().collect();
+        let held = self.views.keys();
+        let gone: Vec<RunnerId> = held.filter(|id| !live.contains(id)).cloned().collect();
         for id in &gone {
             self.remove(id);
         }
         gone
     }
 
-    /// Puts a view in; returns whether followers have to be told. The time that a load
-    /// still takes differs each time that it is told.
+    /// Inserts a view; returns whether it has to be sent to followers. A view with a load in
+    /// progress always is, since the remaining load time differs in each message.
     fn put(&mut self, view: &InstanceView) -> bool {
-        if let Some(known) = self.views.get(&view.id) {
-            if known.as_ref() == view && view.loading.is_empty() {
+        if let Some(held) = self.views.get(&view.id) {
+            if held.as_ref() == view && view.loading.is_empty() {
                 return false;
             }
-            self.digests.toggle(known);
-            self.index.remove(known);
+            self.digests.toggle(held);
+            self.index.remove(held);
         } else {
-            self.parts[bucket_of(&view.id)].insert(view.id.clone());
+            self.buckets[bucket_of(&view.id)].insert(view.id.clone());
         }
         self.digests.toggle(view);
         let view = Arc::new(view.clone());
@@ -118,26 +119,26 @@
         true
     }
 
-    /// Drops an instance; returns whether it was known.
+    /// Removes an instance; returns whether it was held.
     pub fn remove(&mut self, id: &RunnerId) -> bool {
         let Some(view) = self.views.remove(id) else {
             return false;
         };
         self.digests.toggle(&view);
         self.index.remove(&view);
-        self.parts[bucket_of(id)].remove(id);
+        self.buckets[bucket_of(id)].remove(id);
         true
     }
 
-    /// Digests of the views.
+    /// Digests of the held views.
     #[must_use]
     pub fn digests(&self) -> &InstanceDigests {
         &self.digests
     }
 
-    /// The views of one part.
-    pub fn bucket(&self, part: usize) -> impl Iterator<Item = &InstanceView> {
-        let ids = self.parts.get(part).into_iter().flatten();
+    /// Views of the instances in one bucket.
+    pub fn bucket(&self, bucket: usize) -> impl Iterator<Item = &InstanceView> {
+        let ids = self.buckets.get(bucket).into_iter().flatten();
         ids.filter_map(|id| self.get(id))
     }
 
@@ -146,8 +147,8 @@
         self.index.of_service(service).iter().map(Arc::as_ref)
     }
 
-    /// Instances of a service that a request for this model can go to, as far as the model
-    /// goes; empty for a service without models.
+    /// Instances of a service that accept requests for a model. An empty `model` means a service
+    /// without models and gives all its instances.
     pub fn holders(&self, service: &str, model: &str) -> impl Iterator<Item = &InstanceView> {
         let views = match model.is_empty() {
             true => self.index.of_service(service),
@@ -156,12 +157,12 @@
         views.iter().map(Arc::as_ref)
     }
 
-    /// Instances of a service that load a model.
+    /// Instances of a service that are loading a model.
     pub fn loaders(&self, service: &str, model: &str) -> impl Iterator<Item = &InstanceView> {
         self.index.loaders(service, model).iter().map(Arc::as_ref)
     }
 
-    /// All views.
+    /// Views of all instances.
     pub fn values(&self) -> impl Iterator<Item = &InstanceView> {
         self.views.values().map(Arc::as_ref)
     }
@@ -171,25 +172,25 @@
         self.views.keys()
     }
 
-    /// The view of an instance.
+    /// View of an instance.
     #[must_use]
     pub fn get(&self, id: &RunnerId) -> Option<&InstanceView> {
         self.views.get(id).map(Arc::as_ref)
     }
 
-    /// Whether an instance is known.
+    /// Whether an instance is held.
     #[must_use]
     pub fn contains(&self, id: &RunnerId) -> bool {
         self.views.contains_key(id)
     }
 
-    /// Instances that are known.
+    /// Number of instances.
     #[must_use]
     pub fn len(&self) -> usize {
         self.views.len()
     }
 
-    /// Whether none is known.
+    /// Whether there are no instances.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.views.is_empty()
--- a/crates/services/src/lib.rs
+++ b/crates/services/src/lib.rs
@@ -1,14 +1,14 @@
-//! Services in front of back-end instances: what operators declare, which
-//! instances there are, which of them a request goes to and which models they
-//! are told to hold. No I/O, no clock, no threads.
+//! Decisions about services and their back-end instances: the declared configuration, the
+//! set of instances, the instance that serves a request and the models that each instance
+//! loads. No I/O, no clock, no threads.
 //!
-//! Invariants: a configuration that [`validate`](validation::validate) refuses is never in
-//! force; an instance that leaves is never selected again; orders never put
-//! more on an instance than its memory and adapter places hold.
+//! Invariants: a configuration that [`validate`](validation::validate) rejects is never in
+//! force; an instance that leaves is never selected again; orders never assign more to an
+//! instance than its memory and adapter slots hold.
 
 #![allow(
     missing_docs,
-    reason = "the fields of the archived types that rkyv derives carry no docs"
+    reason = "rkyv derives archived types whose fields have no docs"
 )]
 
 pub mod budget;
--- a/crates/services/src/relay.rs
+++ b/crates/services/src/relay.rs
@@ -1,64 +1,63 @@
-//! Registrations on their way from the controller that took them to the leader.
+//! Relay of registrations from the controller that received them to the leader.
 //!
-//! Invariant: a registration that repeats the one before is relayed as its
-//! number alone, and only the holder of the one before it takes it; so what the
-//! leader believes of an instance is always one of the instance's own
-//! registrations, whole.
+//! Invariant: a registration that repeats the one before is relayed as its sequence number
+//! alone, and a leader accepts it only if it holds the one before. The state that the leader
+//! holds for an instance is therefore always one complete registration of that instance.
 //!
-//! Cost: one entry for each instance that registers here.
+//! Cost: one entry for each instance that registers with this controller.
 
 use crate::instance::Registration;
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// An instance that was not heard here for so long registers elsewhere, or is
-/// gone.
-const KEPT: Millis = Millis(6_000);
+/// Time without a registration after which an instance is dropped: it registers with another
+/// controller or has ended.
+const RETENTION: Millis = Millis(6_000);
 
-/// Registrations that are sent at once at the most.
-const BATCH: usize = 64;
+/// Maximum number of registrations in one message.
+const MAX_BATCH: usize = 64;
 
-/// A registration as one controller passes it to another.
+/// A registration as a controller relays it to the leader.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum RelayedRegistration {
-    /// All of it.
+    /// The complete registration.
     Full(Registration),
-    /// The same as the one before, under a new number.
+    /// Equal to the registration before, except for its sequence number.
     Unchanged {
         /// The instance.
         id: RunnerId,
-        /// Its number.
+        /// Its new sequence number.
         sequence: u64,
-        /// Number of the registration that it repeats.
+        /// Sequence number of the registration that it repeats.
         previous_sequence: u64,
     },
 }
 
-/// What a controller that does not lead keeps of the instances that register
-/// there, and what of it the leader has yet to be sent.
+/// Last registrations of the instances that register with a controller that does not lead, and
+/// the queue of those to send to the leader.
 #[derive(Debug, Default)]
 pub struct RegistrationOutbox {
-    heard: BTreeMap<RunnerId, Heard>,
+    received: BTreeMap<RunnerId, Received>,
     queue: VecDeque<RelayedRegistration>,
-    /// Of these, the ones that the leader does not know yet.
-    news: usize,
+    /// Number of queued registrations that are complete, and so new to the leader.
+    queued_full: usize,
     pruned_at: Timestamp,
 }
 
 #[derive(Debug)]
-struct Heard {
+struct Received {
     registration: Registration,
-    at: Timestamp,
+    received_at: Timestamp,
 }
 
 impl RegistrationOutbox {
-    /// Takes a registration; a late one changes nothing.
+    /// Adds a registration; one with an old sequence number changes nothing.
     pub fn offer(&mut self, registration: Registration, now: Timestamp) {
         let id = registration.id.clone();
-        let before = self.heard.get(&id).map(|heard| &heard.registration);
+        let before = self.received.get(&id).map(|entry| &entry.registration);
         let relayed = match before {
             Some(before) if registration.sequence <= before.sequence => return,
-            Some(before) if repeats(before, &registration) => RelayedRegistration::Unchanged {
+            Some(before) if is_unchanged(before, &registration) => RelayedRegistration::Unchanged {
                 id: id.clone(),
                 sequence: registration.sequence,
                 previous_sequence: before.sequence,
@@ -66,77 +65,80 @@
             _ => RelayedRegistration::Full(registration.clone()),
         };
         self.push(relayed);
-        let heard = Heard {
+        let received = Received {
             registration,
-            at: now,
+            received_at: now,
         };
-        self.heard.insert(id, heard);
+        self.received.insert(id, received);
     }
 
-    /// What is to be sent next, in order: a part that is soon dealt with.
+    /// Takes the next message's registrations, in order: a batch of bounded size, so that the
+    /// leader handles it quickly.
     pub fn take(&mut self, now: Timestamp) -> Vec<RelayedRegistration> {
-        if now.since(self.pruned_at) >= KEPT {
+        if now.since(self.pruned_at) >= RETENTION {
             self.prune(now);
         }
-        let length = self.queue.len().min(BATCH);
+        let length = self.queue.len().min(MAX_BATCH);
         let taken: Vec<RelayedRegistration> = self.queue.drain(..length).collect();
-        self.news -= taken.iter().filter(|one| is_news(one)).count();
+        self.queued_full -= taken.iter().filter(|one| is_full(one)).count();
         taken
     }
 
-    /// Whether it is time to send: there is something that the leader does not know yet, or
-    /// a whole message, so that however many instances register here none waits for long.
+    /// Whether to send now: the queue holds a complete registration, which is new to the leader,
+    /// or a full batch. The latter bounds the wait however many instances register here.
     #[must_use]
     pub fn is_due(&self) -> bool {
-        self.news > 0 || self.queue.len() >= BATCH
+        self.queued_full > 0 || self.queue.len() >= MAX_BATCH
     }
 
     fn push(&mut self, relayed: RelayedRegistration) {
-        self.news += usize::from(is_news(&relayed));
+        self.queued_full += usize::from(is_full(&relayed));
         self.queue.push_back(relayed);
     }
 
-    /// Whether nothing is to be sent.
+    /// Whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// The leader lacks what an instance repeated: it is sent whole.
+    /// Queues the complete registration of an instance, because the leader lacks the one that a
+    /// relayed sequence number refers to.
     pub fn resend(&mut self, id: &RunnerId) {
-        if let Some(heard) = self.heard.get(id) {
-            let whole = RelayedRegistration::Full(heard.registration.clone());
-            self.push(whole);
+        if let Some(entry) = self.received.get(id) {
+            let full = RelayedRegistration::Full(entry.registration.clone());
+            self.push(full);
         }
     }
 
-    /// Begins anew for a leader that was sent nothing yet.
+    /// Queues all registrations for a leader that has received none yet.
     pub fn restart(&mut self, now: Timestamp) {
         self.prune(now);
-        let all = self.heard.values();
-        let all = all.map(|heard| RelayedRegistration::Full(heard.registration.clone()));
+        let all = self.received.values();
+        let all = all.map(|entry| RelayedRegistration::Full(entry.registration.clone()));
         self.queue = all.collect();
-        self.news = self.queue.len();
+        self.queued_full = self.queue.len();
     }
 
-    /// Sends nothing for now; what is heard meanwhile is sent after a restart.
+    /// Empties the queue; [`Self::restart`] queues all registrations again.
     pub fn pause(&mut self) {
         self.queue.clear();
-        self.news = 0;
+        self.queued_full = 0;
     }
 
     fn prune(&mut self, now: Timestamp) {
         self.pruned_at = now;
-        self.heard.retain(|_, heard| now.since(heard.at) < KEPT);
+        self.received
+            .retain(|_, entry| now.since(entry.received_at) < RETENTION);
     }
 }
 
-fn is_news(relayed: &RelayedRegistration) -> bool {
+fn is_full(relayed: &RelayedRegistration) -> bool {
     matches!(relayed, RelayedRegistration::Full(_))
 }
 
-/// Whether two registrations differ by their number alone.
-fn repeats(before: &Registration, after: &Registration) -> bool {
+/// Whether two registrations differ only in their sequence number.
+fn is_unchanged(before: &Registration, after: &Registration) -> bool {
     before.state == after.state
         && before.models == after.models
         && before.cached_weights == after.cached_weights
--- a/crates/services/src/routes.rs
+++ b/crates/services/src/routes.rs
@@ -1,12 +1,12 @@
-//! Finds the route of a request: by host, then the longest prefix.
+//! Looks up the route of a request: by its host, then by the longest matching path prefix.
 
 use crate::configuration::{Route, Service, ServiceConfiguration, Target};
 use crate::tenants::TenantTable;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A configuration, indexed for look-ups. Cost of a look-up: one hash of the
-/// host and one for each slash of the path, whatever the number of routes.
+/// A configuration, indexed for look-ups. A look-up costs one hash of the host and one for each
+/// slash in the path, independent of the number of routes.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     configuration: ServiceConfiguration,
@@ -36,31 +36,31 @@
         }
     }
 
-    /// The configuration's number.
+    /// Version number of the configuration.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.configuration.number
     }
 
-    /// The configuration.
+    /// The indexed configuration.
     #[must_use]
     pub fn configuration(&self) -> &ServiceConfiguration {
         &self.configuration
     }
 
-    /// All tenants.
+    /// The tenants, indexed by key.
     #[must_use]
     pub fn tenants(&self) -> &TenantTable {
         &self.tenants
     }
 
-    /// A service by its name.
+    /// The service of this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// The route for `host` (a port is left out of account) and `path`.
+    /// The route for `host` and `path`; a port in `host` is ignored.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -71,24 +71,24 @@
         let slashes = path.match_indices('/').map(|(position, _)| position);
         let mut slashes: Vec<usize> = slashes.collect();
         slashes.reverse();
-        let mut found = slashes.into_iter();
-        found.find_map(|position| prefixes.get(&path[..=position]))
+        let mut positions = slashes.into_iter();
+        positions.find_map(|position| prefixes.get(&path[..=position]))
     }
 }
 
-/// The target of a request, given a number drawn evenly from 0 up to 1.
+/// Selects a target in proportion to the weights; `draw` is uniform in [0, 1).
 #[must_use]
 pub fn pick_target(targets: &[Target], draw: f64) -> Option<&Target> {
     let total: f64 = targets.iter().map(|target| target.weight).sum();
-    let mut left = draw * total;
+    let mut remaining = draw * total;
     for target in targets {
         if target.weight <= 0.0 {
             continue;
         }
-        if left < target.weight {
+        if remaining < target.weight {
             return Some(target);
         }
-        left -= target.weight;
+        remaining -= target.weight;
     }
     targets.iter().rev().find(|target| target.weight > 0.0)
 }
--- a/crates/services/src/tenants.rs
+++ b/crates/services/src/tenants.rs
@@ -1,52 +1,52 @@
-//! Tenants: whose a request is, by its key, and how much they may use.
+//! Tenants: identification of a request's tenant by its key, and the tenants' quotas.
 //!
-//! Keys are kept as digests only. A look-up hashes the key that came and finds the
-//! digest, so that its time tells nothing about the keys that are held. Cost: one
-//! digest and one hash look-up, whatever the number of tenants.
+//! Invariant: keys are held only as digests. A look-up hashes the presented key and looks up the
+//! digest, so that its duration reveals nothing about the held keys. Cost: one digest and one
+//! hash look-up, independent of the number of tenants.
 
 use crate::validation::ConfigurationError;
 use courseshunt_types::Digest;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// One tenant.
+/// A declared tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Name, as instances and logs are told it.
+    /// Name, sent to instances and written to logs.
     pub name: String,
     /// Digests of the keys that its requests may carry.
     pub keys: Vec<Digest>,
-    /// Rank of its requests, 0 first; goes before the route's.
+    /// Priority of its requests, 0 is the most urgent; overrides the priority of the route.
     pub priority: Option<u8>,
-    /// How much it may use; `None` for no limit.
+    /// Its quota; `None` for no limit.
     pub quota: Option<Quota>,
 }
 
-/// How much a tenant may use, over all routers together.
+/// Quota of a tenant, over all routers together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    /// Units a second.
+    /// Units per second.
     pub rate_per_second: f64,
-    /// Units besides, at once.
+    /// Additional units that may be used at once.
     pub burst: f64,
-    /// What is counted.
+    /// The unit that is counted.
     pub unit: QuotaUnit,
 }
 
-/// What a quota counts.
+/// Unit of a quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaUnit {
-    /// Each request as one.
+    /// Each request counts as one unit.
     Requests,
-    /// The tokens of a prompt and the most that may come out of it.
+    /// Each request counts its prompt tokens and its maximum number of output tokens.
     Tokens {
-        /// What a request counts that says nothing about its tokens.
+        /// Units of a request that names no token counts.
         default_units: u32,
     },
 }
 
 impl Quota {
-    /// Units of a request with these tokens in and out.
+    /// Units of a request with these numbers of prompt and output tokens.
     #[must_use]
     pub fn weight(&self, prompt_tokens: u32, output_tokens: u32) -> u32 {
         match self.unit {
@@ -61,15 +61,15 @@
     }
 }
 
-/// All tenants, indexed by their keys.
+/// All tenants, indexed by the digests of their keys.
 #[derive(Debug, Default)]
 pub struct TenantTable {
     by_key: HashMap<Digest, Arc<Tenant>>,
-    declared: bool,
+    has_tenants: bool,
 }
 
 impl TenantTable {
-    /// Indexes valid tenants.
+    /// Indexes the tenants of a valid configuration.
     #[must_use]
     pub fn new(tenants: &[Tenant]) -> Self {
         let mut by_key = HashMap::new();
@@ -80,27 +80,27 @@
         }
         Self {
             by_key,
-            declared: !tenants.is_empty(),
+            has_tenants: !tenants.is_empty(),
         }
     }
 
-    /// Whether requests need a key: where tenants are declared.
+    /// Whether requests need a key, which is the case if any tenant is declared.
     #[must_use]
     pub fn requires_key(&self) -> bool {
-        self.declared
+        self.has_tenants
     }
 
-    /// The tenant that holds a key.
+    /// The tenant with a key of this digest.
     #[must_use]
     pub fn find(&self, key: &Digest) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
 }
 
-/// Checks the tenants of a configuration.
+/// Validates the tenants of a configuration.
 ///
 /// # Errors
-/// The first fault found; it names tenants, never keys.
+/// The first error found; it names tenants, never keys.
 pub(crate) fn validate_tenants(tenants: &[Tenant]) -> Result<(), ConfigurationError> {
     let mut names = BTreeSet::new();
     let mut holders: HashMap<Digest, &str> = HashMap::new();
@@ -112,8 +112,8 @@
         }
         validate_quota(tenant)?;
         for key in &tenant.keys {
-            let holder = holders.insert(*key, &tenant.name);
-            if let Some(other) = holder.filter(|other| *other != tenant.name) {
+            let previous = holders.insert(*key, &tenant.name);
+            if let Some(other) = previous.filter(|other| *other != tenant.name) {
                 return Err(ConfigurationError::SharedKey {
                     tenant: tenant.name.clone(),
                     other: other.to_owned(),
--- a/crates/services/src/token_bucket.rs
+++ b/crates/services/src/token_bucket.rs
@@ -1,11 +1,11 @@
-//! A token bucket that lets through what is larger than itself, and owes the rest.
+//! A token bucket that admits amounts above its capacity by going into debt.
 //!
-//! Invariant: in any time `t`, what is taken with [`TokenBucket::take`] sums up to at
-//! most the rate times `t`, the capacity and one amount.
+//! Invariant: in any time `t`, the amounts taken with [`TokenBucket::take`] sum up to at most
+//! the rate times `t`, plus the capacity, plus one amount.
 
 use courseshunt_types::{Millis, Timestamp};
 
-/// See the module. Amounts, capacity and level in units; the rate in units a second.
+/// A token bucket. Amounts, capacity and level are in units, the rate in units per second.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
     rate: f64,
@@ -15,7 +15,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     #[must_use]
     pub fn full(rate: f64, capacity: f64, now: Timestamp) -> Self {
         Self {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// An empty bucket.
+    /// Creates an empty bucket.
     #[must_use]
     pub fn empty(rate: f64, capacity: f64, now: Timestamp) -> Self {
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Follows a changed rate and capacity; the level stays, as far as it fits.
+    /// Changes rate and capacity; the level stays, up to the new capacity.
     pub fn resize(&mut self, rate: f64, capacity: f64, now: Timestamp) {
         self.refill(now);
         self.rate = rate;
@@ -43,31 +43,31 @@
         self.level = self.level.min(capacity);
     }
 
-    /// Units in the bucket; below 0 what is owed.
+    /// Units in the bucket; negative while the bucket is in debt.
     pub fn level(&mut self, now: Timestamp) -> f64 {
         self.refill(now);
         self.level
     }
 
-    /// Most units that it holds.
+    /// Maximum level, in units.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         self.capacity
     }
 
-    /// Units that flow in, in a second.
+    /// Refill rate, in units per second.
     #[must_use]
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Takes an amount if it is there; an amount above the capacity needs a full
-    /// bucket and leaves it owing. Returns whether it was taken.
+    /// Takes an amount if the level covers it; returns whether it was taken. An amount above the
+    /// capacity needs a full bucket and leaves it in debt.
     pub fn take(&mut self, amount: f64, now: Timestamp) -> bool {
         self.take_if_level_at_least(amount.min(self.capacity), amount, now)
     }
 
-    /// Takes an amount if the bucket holds at least `needed`.
+    /// Takes an amount if the level is at least `needed`; returns whether it was taken.
     pub fn take_if_level_at_least(&mut self, needed: f64, amount: f64, now: Timestamp) -> bool {
         self.refill(now);
         if self.level < needed {
@@ -77,18 +77,19 @@
         true
     }
 
-    /// Takes an amount whether it is there or not; a negative one is given back.
+    /// Takes an amount whatever the level; a negative amount is a refund.
     pub fn charge(&mut self, amount: f64, now: Timestamp) {
         self.refill(now);
         self.level = (self.level - amount).min(self.capacity);
     }
 
-    /// Forgives what is owed beyond a bound.
-    pub fn raise_level_to(&mut self, least: f64) {
-        self.level = self.level.max(least);
+    /// Raises the level to a minimum, which cancels debt below it.
+    pub fn raise_level_to(&mut self, min_level: f64) {
+        self.level = self.level.max(min_level);
     }
 
-    /// Time until the bucket holds this, if nothing is taken.
+    /// Time until the level reaches `needed` (at most the capacity) if nothing is taken;
+    /// `u64::MAX` milliseconds if it never does.
     pub fn time_until(&mut self, needed: f64, now: Timestamp) -> Millis {
         self.refill(now);
         let missing = (needed.min(self.capacity) - self.level).max(0.0);
@@ -100,8 +101,8 @@
     }
 
     fn refill(&mut self, now: Timestamp) {
-        let passed = now.since(self.updated).as_secs_f64();
+        let elapsed_s = now.since(self.updated).as_secs_f64();
         self.updated = self.updated.max(now);
-        self.level = (self.level + passed * self.rate).min(self.capacity);
+        self.level = (self.level + elapsed_s * self.rate).min(self.capacity);
     }
 }
--- a/crates/services/src/validation.rs
+++ b/crates/services/src/validation.rs
@@ -1,4 +1,7 @@
-//! Decides whether a configuration is valid.
+//! Validation of configurations.
+//!
+//! Invariant: each route of a valid configuration leads to declared services, has a time limit
+//! and has a host and prefix of its own; names of tenants and services are unique.
 
 use crate::configuration::{Route, ServiceConfiguration};
 use crate::tenants::validate_tenants;
@@ -7,82 +10,82 @@
 /// Why a configuration is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, snafu::Snafu)]
 pub enum ConfigurationError {
-    /// The document can't be read.
+    /// The document can't be parsed.
     #[snafu(display("the configuration can't be read: {message}"))]
     Unreadable {
-        /// What is wrong.
+        /// Description of the error.
         message: String,
     },
     /// A route names a service that isn't declared.
     #[snafu(display("route {route}: unknown service {service}"))]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service.
+        /// Name of the service.
         service: String,
     },
-    /// Two routes share host and prefix.
+    /// Two routes have the same host and prefix.
     #[snafu(display("route {route}: host {host} and prefix {prefix} are taken already"))]
     DuplicateRoute {
-        /// The second route.
+        /// Name of the second route.
         route: String,
-        /// The host.
+        /// Host of the route.
         host: String,
-        /// The prefix.
+        /// Prefix of the route.
         prefix: String,
     },
-    /// A route's weights add up to nothing.
+    /// A weight of the route is negative, or all weights add up to 0.
     #[snafu(display("route {route}: its weights add up to nothing"))]
     InvalidWeights {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
-    /// A route has no time limit.
+    /// The time limit of a route is 0.
     #[snafu(display("route {route}: its time limit is 0"))]
     ZeroTimeout {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
-    /// A prefix that does not begin and end with a slash.
+    /// The prefix of a route does not begin and end with a slash.
     #[snafu(display("route {route}: prefix {prefix} must begin and end with a slash"))]
     InvalidPrefix {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The prefix.
+        /// Prefix of the route.
         prefix: String,
     },
-    /// Two tenants share a name.
+    /// Two tenants have the same name.
     #[snafu(display("tenant {tenant} is declared twice"))]
     DuplicateTenant {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
     },
-    /// Two tenants hold the same key.
+    /// Two tenants have a key in common.
     #[snafu(display("tenant {tenant}: it holds a key that tenant {other} holds already"))]
     SharedKey {
-        /// The second tenant.
+        /// Name of the second tenant.
         tenant: String,
-        /// The first one.
+        /// Name of the first tenant.
         other: String,
     },
-    /// A tenant's limit is no number from 0 up.
+    /// The rate or burst of a tenant's quota is negative, infinite or not a number.
     #[snafu(display("tenant {tenant}: its rate and burst must be numbers from 0 up"))]
     InvalidQuota {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
     },
-    /// Two services share a name.
+    /// Two services have the same name.
     #[snafu(display("service {service} is declared twice"))]
     DuplicateService {
-        /// The service.
+        /// Name of the service.
         service: String,
     },
 }
 
-/// Checks a configuration as a whole.
+/// Validates a configuration as a whole.
 ///
 /// # Errors
-/// The first fault found.
+/// The first error found.
 pub fn validate(configuration: &ServiceConfiguration) -> Result<(), ConfigurationError> {
     let mut services = BTreeSet::new();
     for service in &configuration.services {
@@ -92,10 +95,10 @@
             });
         }
     }
-    let mut places = BTreeSet::new();
+    let mut prefixes = BTreeSet::new();
     for route in &configuration.routes {
         validate_route(route, &services)?;
-        if !places.insert((route.host.as_str(), route.prefix.as_str())) {
+        if !prefixes.insert((route.host.as_str(), route.prefix.as_str())) {
             return Err(ConfigurationError::DuplicateRoute {
                 route: route.name.clone(),
                 host: route.host.clone(),
