--- a/crates/membership/src/join_requests.rs
+++ b/crates/membership/src/join_requests.rs
@@ -1,55 +1,59 @@
-//! Processes that want to join, as the leader has heard of them.
+//! Requests to join the group that the leader has received or been notified of.
 //!
-//! Invariant: one that was not heard of lately is not taken in: it may be gone, and a
-//! member that is gone is only forgotten after a long silence.
+//! Invariant: a process whose last request is too old is not added, since it may have ended,
+//! and a member that has ended is removed only after a long silence.
 
 use courseshunt_types::{ControllerId, Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// An applicant that was not heard of for so long is dropped; it asks far more often.
-const LIFETIME: Millis = Millis(3_000);
-/// JoinRequests that are kept at the most.
-const MOST: usize = 64;
+/// Age at which a request expires; a joining process repeats its request far more often.
+const REQUEST_LIFETIME: Millis = Millis(3_000);
+/// Maximum number of requests that are kept.
+const MAX_REQUESTS: usize = 64;
 
 #[derive(Debug, Clone, Copy)]
-struct Applicant {
+struct JoinRequest {
     address: SocketAddr,
-    heard_at: Timestamp,
+    received_at: Timestamp,
 }
 
-/// See the module.
+/// Pending join requests, by member.
 #[derive(Debug, Default)]
 pub struct JoinRequests {
-    known: BTreeMap<ControllerId, Applicant>,
+    requests: BTreeMap<ControllerId, JoinRequest>,
 }
 
 impl JoinRequests {
-    /// Notes that `member`, found at `address`, wants to join; returns whether that is new.
+    /// Records that `member`, at `address`, requests to join; returns whether no request of it was
+    /// recorded before.
     pub fn record(&mut self, member: ControllerId, address: SocketAddr, now: Timestamp) -> bool {
-        if self.known.len() >= MOST && !self.known.contains_key(&member) {
+        if self.requests.len() >= MAX_REQUESTS && !self.requests.contains_key(&member) {
             return false;
         }
-        let heard_at = now;
-        let applicant = Applicant { address, heard_at };
-        self.known.insert(member, applicant).is_none()
+        let received_at = now;
+        let request = JoinRequest {
+            address,
+            received_at,
+        };
+        self.requests.insert(member, request).is_none()
     }
 
-    /// Those that are not members yet, with their addresses.
+    /// Processes with a recent request that are not members yet, with their addresses.
     pub fn pending(
         &mut self,
         members: &BTreeSet<ControllerId>,
         now: Timestamp,
     ) -> Vec<(ControllerId, SocketAddr)> {
-        self.known.retain(|member, applicant| {
-            !members.contains(member) && now.since(applicant.heard_at) < LIFETIME
+        self.requests.retain(|member, request| {
+            !members.contains(member) && now.since(request.received_at) < REQUEST_LIFETIME
         });
-        let known = self.known.iter();
-        known.map(|(id, one)| (*id, one.address)).collect()
+        let requests = self.requests.iter();
+        requests.map(|(id, one)| (*id, one.address)).collect()
     }
 
-    /// Forgets all, as at the end of a leadership.
+    /// Removes all requests, as at the end of a leadership.
     pub fn clear(&mut self) {
-        self.known.clear();
+        self.requests.clear();
     }
 }
--- a/crates/membership/src/joiner.rs
+++ b/crates/membership/src/joiner.rs
@@ -1,202 +1,214 @@
-//! Whom a process asks to be taken into the group, and when again.
+//! Schedule of the join requests that a process sends to other processes.
 //!
-//! Invariants: what an answer tells is used: the leader that it names is asked next, and
-//! the members that it names after it; every address is asked again as long as no leader
-//! is known; only so many questions are under way at once.
+//! Invariants: the addresses in a reply are used: the leader that it names is contacted next,
+//! and the members that it names after that; each address is retried while no leader is known;
+//! the number of requests in flight is bounded.
 
 use courseshunt_types::{Millis, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Pause before one that answered is asked again.
-const ASK_AGAIN: Millis = Millis(300);
-/// Time without a leader before a member asks at all: it needs that only if it was removed,
-/// and until then its questions would take processor time from the election.
-const MEMBER_PATIENCE: Millis = Millis(1_500);
-/// Longest pause before one that did not answer is asked again.
-const LONGEST_PAUSE: Millis = Millis(1_200);
-/// Once a leader has said that it takes this process in, the others are left alone so long.
-const TRUST_LEADER: Millis = Millis(900);
-/// Questions under way at the most.
-const MOST_OPEN: usize = 6;
-/// Addresses that are kept at the most.
-const MOST_KNOWN: usize = 64;
-
-/// What becomes of an answer.
+/// Time until an address that replied is contacted again.
+const RETRY_INTERVAL: Millis = Millis(300);
+/// Time without a leader before a member sends join requests. It needs them only if it was
+/// removed, and earlier requests would take processor time from the election.
+const MEMBER_DELAY: Millis = Millis(1_500);
+/// Maximum backoff before an address that did not reply is contacted again.
+const MAX_BACKOFF: Millis = Millis(1_200);
+/// Time after a leader has accepted the request during which no other address is contacted.
+const LEADER_ONLY_TIME: Millis = Millis(900);
+/// Maximum number of requests in flight.
+const MAX_IN_FLIGHT: usize = 6;
+/// Maximum number of addresses that are kept.
+const MAX_CANDIDATES: usize = 64;
+
+/// Use of the addresses in replies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum JoinStrategy {
-    /// The addresses that it names are asked too.
+    /// Addresses in replies are contacted too.
     #[default]
     FollowReplies,
-    /// Only its sender is asked again; for comparisons in virtual time.
+    /// Addresses in replies are ignored; for comparisons in virtual time.
     SeedsOnly,
 }
 
-/// What one that was asked has last told.
+/// Outcome of the last join request to an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JoinOutcome {
-    /// It leads and takes this process in.
+    /// It leads and has accepted the request.
     Leads,
     /// It does not lead.
     Follows,
-    /// Nothing in time, or no connection.
+    /// No reply in time, or no connection.
     NoReply,
 }
 
-/// An answer to the wish to join.
+/// Reply to a join request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct JoinReply {
-    /// The sender leads and takes the process in.
+    /// Whether the sender leads and has accepted the request.
     pub leads: bool,
-    /// Where the leader is, as far as the sender knows.
+    /// Address of the leader, if the sender has it.
     pub leader: Option<SocketAddr>,
-    /// Addresses of members, or of whomever the sender knows.
+    /// Addresses of members, or of other processes that the sender has.
     pub members: Vec<SocketAddr>,
 }
 
-/// What the choice rests on.
+/// State of the process that the schedule depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct JoinerView<'a> {
-    /// This process's own address.
+    /// Wire address of this process.
     pub own_address: SocketAddr,
-    /// A leader is known, so that nobody has to be asked.
+    /// Whether a leader is known, so that no request is needed.
     pub leader_known: bool,
-    /// This process's log names members, so that an election may be about to end.
+    /// Whether this process's log names members, so that an election may be in progress.
     pub is_member: bool,
-    /// Addresses known otherwise: seeds, members, processes that connected here.
+    /// Addresses from other sources: seeds, members, processes that connected to this one.
     pub known_addresses: &'a [SocketAddr],
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Candidate {
-    open: bool,
-    asked_at: Option<Timestamp>,
-    /// Not to be asked earlier.
-    ask_at: Timestamp,
+    in_flight: bool,
+    sent_at: Option<Timestamp>,
+    /// Earliest time of the next request.
+    due_at: Timestamp,
+    /// Number of requests without a reply in a row.
     failures: u32,
-    answer: Option<JoinOutcome>,
-    /// Somebody said that it leads.
-    named: bool,
+    outcome: Option<JoinOutcome>,
+    /// Whether a reply named this address as the leader's.
+    reported_leader: bool,
 }
 
-/// See the module.
+/// Schedules the join requests of one process.
 #[derive(Debug, Default)]
 pub struct Joiner {
-    way: JoinStrategy,
+    strategy: JoinStrategy,
     candidates: BTreeMap<SocketAddr, Candidate>,
     leaderless_since: Option<Timestamp>,
-    trusted_until: Timestamp,
+    /// Until then only a leader that accepted a request is contacted.
+    leader_only_until: Timestamp,
 }
 
 impl Joiner {
-    /// A joiner that treats answers so.
+    /// Creates a joiner with this strategy.
     #[must_use]
-    pub fn with_strategy(way: JoinStrategy) -> Self {
+    pub fn with_strategy(strategy: JoinStrategy) -> Self {
         Self {
-            way,
+            strategy,
             ..Self::default()
         }
     }
 
-    /// Addresses to ask now. Each is under way until its answer, or its lack, is told.
+    /// Addresses to contact now. Each request counts as in flight until
+    /// [`Self::reply_received`] or [`Self::no_reply`] is called for its address.
     pub fn due(&mut self, view: JoinerView<'_>, now: Timestamp) -> Vec<SocketAddr> {
         if view.leader_known {
             self.leaderless_since = None;
-            self.candidates.retain(|_, one| one.open);
+            self.candidates.retain(|_, one| one.in_flight);
             return Vec::new();
         }
         let since = *self.leaderless_since.get_or_insert(now);
-        if view.is_member && now.since(since) < MEMBER_PATIENCE {
+        if view.is_member && now.since(since) < MEMBER_DELAY {
             return Vec::new();
         }
         for address in view.known_addresses {
-            self.learn(*address);
+            self.add_candidate(*address);
         }
         self.candidates.remove(&view.own_address);
-        let open = self.candidates.values().filter(|one| one.open).count();
-        let mut due: Vec<SocketAddr> = self.askable(now).collect();
-        due.sort_by_key(|address| self.rank(*address));
-        due.truncate(MOST_OPEN.saturating_sub(open));
+        let in_flight = self.candidates.values().filter(|one| one.in_flight).count();
+        let mut due: Vec<SocketAddr> = self.due_addresses(now).collect();
+        due.sort_by_key(|address| self.sort_key(*address));
+        due.truncate(MAX_IN_FLIGHT.saturating_sub(in_flight));
         for address in &due {
             if let Some(candidate) = self.candidates.get_mut(address) {
-                candidate.open = true;
-                candidate.asked_at = Some(now);
+                candidate.in_flight = true;
+                candidate.sent_at = Some(now);
             }
         }
         due
     }
 
-    /// When somebody is to be asked next, unless an answer comes before.
+    /// Time of the next request, unless a reply arrives earlier.
     #[must_use]
     pub fn next_due_at(&self) -> Option<Timestamp> {
-        let idle = self.candidates.values().filter(|one| !one.open);
-        idle.map(|one| one.ask_at).min()
+        let idle = self.candidates.values().filter(|one| !one.in_flight);
+        idle.map(|one| one.due_at).min()
     }
 
-    fn askable(&self, now: Timestamp) -> impl Iterator<Item = SocketAddr> + '_ {
-        let trusts = now < self.trusted_until;
+    fn due_addresses(&self, now: Timestamp) -> impl Iterator<Item = SocketAddr> + '_ {
+        let leader_only = now < self.leader_only_until;
         let idle = self.candidates.iter();
-        let idle = idle.filter(move |(_, one)| !one.open && one.ask_at <= now);
-        let wanted = idle.filter(move |(_, one)| !trusts || one.answer == Some(JoinOutcome::Leads));
-        wanted.map(|(address, _)| *address)
+        let idle = idle.filter(move |(_, one)| !one.in_flight && one.due_at <= now);
+        let due =
+            idle.filter(move |(_, one)| !leader_only || one.outcome == Some(JoinOutcome::Leads));
+        due.map(|(address, _)| *address)
     }
 
-    /// Lower ones are asked first: who leads by hearsay, then who answered, then those
-    /// that were asked longest ago.
-    fn rank(&self, address: SocketAddr) -> (bool, u32, Option<Timestamp>) {
+    /// Sort key, lowest first: reported leaders, then addresses with fewer failures, then those
+    /// that were contacted longest ago.
+    fn sort_key(&self, address: SocketAddr) -> (bool, u32, Option<Timestamp>) {
         let candidate = self.candidates.get(&address).copied().unwrap_or_default();
-        (!candidate.named, candidate.failures, candidate.asked_at)
+        (
+            !candidate.reported_leader,
+            candidate.failures,
+            candidate.sent_at,
+        )
     }
 
-    /// Takes an answer in.
+    /// Records a reply to the request to `address`.
     pub fn reply_received(&mut self, address: SocketAddr, reply: &JoinReply, now: Timestamp) {
         let candidate = self.candidates.entry(address).or_default();
-        candidate.open = false;
+        candidate.in_flight = false;
         candidate.failures = 0;
-        candidate.named = reply.leads;
-        candidate.ask_at = now + ASK_AGAIN;
-        candidate.answer = Some(match reply.leads {
+        candidate.reported_leader = reply.leads;
+        candidate.due_at = now + RETRY_INTERVAL;
+        candidate.outcome = Some(match reply.leads {
             true => JoinOutcome::Leads,
             false => JoinOutcome::Follows,
         });
         if reply.leads {
-            self.trusted_until = now + TRUST_LEADER;
+            self.leader_only_until = now + LEADER_ONLY_TIME;
         }
-        if self.way == JoinStrategy::SeedsOnly {
+        if self.strategy == JoinStrategy::SeedsOnly {
             return;
         }
         for member in &reply.members {
-            self.learn(*member);
+            self.add_candidate(*member);
         }
         if let Some(leader) = reply.leader.filter(|leader| *leader != address) {
-            self.name_leader(leader, now);
+            self.add_reported_leader(leader, now);
         }
     }
 
-    /// A leader that somebody names is asked at once, unless it was just asked.
-    fn name_leader(&mut self, leader: SocketAddr, now: Timestamp) {
-        self.learn(leader);
+    /// Makes the request to a reported leader due at once, unless one was sent within the retry
+    /// interval.
+    fn add_reported_leader(&mut self, leader: SocketAddr, now: Timestamp) {
+        self.add_candidate(leader);
         if let Some(candidate) = self.candidates.get_mut(&leader) {
-            let earliest = candidate.asked_at.map_or(now, |asked| asked + ASK_AGAIN);
-            candidate.named = true;
-            candidate.ask_at = candidate.ask_at.min(earliest);
+            let earliest = candidate
+                .sent_at
+                .map_or(now, |sent_at| sent_at + RETRY_INTERVAL);
+            candidate.reported_leader = true;
+            candidate.due_at = candidate.due_at.min(earliest);
         }
     }
 
-    /// Notes that an address did not answer.
+    /// Records that the request to `address` got no reply.
     pub fn no_reply(&mut self, address: SocketAddr, now: Timestamp) {
         let candidate = self.candidates.entry(address).or_default();
-        candidate.open = false;
-        candidate.named = false;
+        candidate.in_flight = false;
+        candidate.reported_leader = false;
         candidate.failures += 1;
-        let pause = Millis(ASK_AGAIN.0 << candidate.failures.min(4));
-        candidate.ask_at = now + pause.min(LONGEST_PAUSE);
-        candidate.answer = Some(JoinOutcome::NoReply);
+        let backoff = Millis(RETRY_INTERVAL.0 << candidate.failures.min(4));
+        candidate.due_at = now + backoff.min(MAX_BACKOFF);
+        candidate.outcome = Some(JoinOutcome::NoReply);
     }
 
-    fn learn(&mut self, address: SocketAddr) {
-        if self.candidates.len() >= MOST_KNOWN && !self.candidates.contains_key(&address) {
-            let idle = self.candidates.iter().filter(|(_, one)| !one.open);
+    /// Adds an address; if there are too many, it replaces the idle one with the most failures.
+    fn add_candidate(&mut self, address: SocketAddr) {
+        if self.candidates.len() >= MAX_CANDIDATES && !self.candidates.contains_key(&address) {
+            let idle = self.candidates.iter().filter(|(_, one)| !one.in_flight);
             let worst = idle.max_by_key(|(_, one)| one.failures);
             let Some(worst) = worst.map(|(address, _)| *address) else {
                 return;
@@ -206,9 +218,9 @@
         self.candidates.entry(address).or_default();
     }
 
-    /// Who has been asked, with the last answers.
+    /// Addresses that were contacted, with the outcome of the last completed request.
     pub fn outcomes(&self) -> impl Iterator<Item = (SocketAddr, JoinOutcome)> + '_ {
         let candidates = self.candidates.iter();
-        candidates.filter_map(|(address, one)| Some((*address, one.answer?)))
+        candidates.filter_map(|(address, one)| Some((*address, one.outcome?)))
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,11 @@
-//! Who belongs to the control group: whom a process asks that wants to join, whom the
-//! leader takes in, promotes, replaces and forgets, and how many losses can be borne.
+//! Membership of the control group: which processes a joining process contacts, which members
+//! the leader adds, promotes, replaces and removes, and how many voter losses the group
+//! tolerates.
 //!
-//! Invariants: nothing here does I/O or reads a clock, so that the simulation runs the
-//! code that ships; a process that can reach any process that knows the leader, or that
-//! lives at a member's address, becomes a member; the number of voters never falls by a
-//! repair.
+//! Invariants: nothing here does I/O or reads a clock, so that the simulation runs the shipped
+//! code; a process becomes a member if it can reach any process that has the address of the
+//! leader, or if it runs at the address of a member; a repair never reduces the number of
+//! voters.
 
 mod join_requests;
 mod joiner;
--- a/crates/membership/src/redundancy.rs
+++ b/crates/membership/src/redundancy.rs
@@ -1,32 +1,33 @@
-//! How many losses of voters the group can still bear, as its leader sees it.
+//! Number of voter losses that the group tolerates, as observed by its leader.
 //!
-//! Invariant: a voter counts as live only if the leader has heard it lately, so that a
-//! group that is led but could not bear a loss is never told as whole.
+//! Invariant: a voter counts as live only if the leader has had contact with it recently, so that
+//! a group that has a leader but would not survive a loss is never reported as fully redundant.
 
 use crate::repair::{LIVE_WITHIN, MAX_VOTERS};
 use courseshunt_consensus::MembersView;
 use courseshunt_types::{ControllerId, Millis, Timestamp};
 use std::collections::BTreeSet;
 
-/// See the module.
+/// Redundancy of the group at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Redundancy {
-    /// Voters, this member among them.
+    /// Number of voters, including this member.
     pub voters: usize,
-    /// Those of them that were heard lately.
+    /// Number of voters with recent contact, including this member.
     pub live_voters: usize,
-    /// Members that do not vote.
+    /// Number of members that do not vote.
     pub learners: usize,
-    /// Processes that have asked to join and are not members yet.
+    /// Number of processes that have requested to join and are not members yet.
     pub joining: usize,
-    /// Live voters that may be lost while a quorum stays.
+    /// Number of live voters that may be lost while a quorum remains.
     pub bearable_losses: usize,
-    /// No change of the membership goes on.
+    /// Whether no membership change is in progress.
     pub settled: bool,
 }
 
 impl Redundancy {
-    /// Reads it from what the leader `own` knows of the members.
+    /// Computes the redundancy from the leader's view; `own` is the leader, and `joining` the
+    /// number of pending join requests.
     #[must_use]
     pub fn of(own: ControllerId, members: &MembersView, joining: usize) -> Self {
         let membership = &members.membership;
@@ -45,14 +46,15 @@
         }
     }
 
-    /// Whether the group bears as many losses as it ever does.
+    /// Whether the group tolerates the maximum number of losses: all voters are live and there
+    /// are as many as allowed.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.voters >= MAX_VOTERS && self.live_voters == self.voters
     }
 }
 
-/// Follows the redundancy over one leadership.
+/// Tracks the redundancy during one leadership.
 #[derive(Debug, Default)]
 pub struct RedundancyTracker {
     last: Option<Redundancy>,
@@ -60,20 +62,20 @@
 }
 
 impl RedundancyTracker {
-    /// Takes the present state in; returns whether it differs from the last one.
-    pub fn update(&mut self, present: Redundancy, now: Timestamp) -> bool {
-        match present.is_full() {
+    /// Records the current redundancy; returns whether it differs from the last one.
+    pub fn update(&mut self, current: Redundancy, now: Timestamp) -> bool {
+        match current.is_full() {
             true => self.below_full_since = None,
             false => {
                 self.below_full_since.get_or_insert(now);
             }
         }
-        let changed = self.last != Some(present);
-        self.last = Some(present);
+        let changed = self.last != Some(current);
+        self.last = Some(current);
         changed
     }
 
-    /// Time without full redundancy, in this leadership.
+    /// Time since full redundancy was lost, counted within this leadership; 0 while it is full.
     #[must_use]
     pub fn below_full_for(&self, now: Timestamp) -> Millis {
         let since = self.below_full_since;
--- a/crates/membership/src/repair.rs
+++ b/crates/membership/src/repair.rs
@@ -1,66 +1,65 @@
-//! Decides on the membership of the group: who is taken in, promoted, replaced.
+//! Decides on membership changes: which processes are added, promoted, replaced and removed.
 //!
-//! Invariants: one change at a time; a voter is replaced only when its disk is
-//! surely gone (another identity answers at its address) or it has been silent
-//! for long while a learner stands ready; the number of voters never falls by
-//! a repair.
+//! Invariants: one change at a time; a voter is replaced only when its disk is certainly lost
+//! (another identity replies at its address), or when it has been silent for long and a ready
+//! learner can take its place; a repair never reduces the number of voters.
 
 use courseshunt_consensus::{MembersView, MembershipChange};
 use courseshunt_types::{ControllerId, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Voters at the most; further members listen and stand ready.
+/// Maximum number of voters; further members are learners, ready to replace a voter.
 pub(crate) const MAX_VOTERS: usize = 5;
-/// A voter that was silent for so long is replaced by a ready learner.
+/// Silence after which a voter is replaced by a ready learner.
 const REPLACE_AFTER: Millis = Millis(2_500);
-/// A learner heard within this time stands ready.
+/// Maximum time since the last contact with a member that counts as live.
 pub(crate) const LIVE_WITHIN: Millis = Millis(600);
-/// A learner that was silent for so long is removed.
-const FORGET_AFTER: Millis = Millis(20_000);
+/// Silence after which a learner is removed.
+const REMOVE_AFTER: Millis = Millis(20_000);
 
-/// What the decision rests on.
+/// State of the group that the decision depends on.
 #[derive(Debug)]
 pub struct GroupView<'a> {
-    /// This member, the leader.
+    /// Identity of this member, the leader.
     pub own: ControllerId,
-    /// Members as the leader knows them.
+    /// The leader's view of the members.
     pub members: &'a MembersView,
     /// Wire addresses of members.
     pub addresses: &'a BTreeMap<ControllerId, SocketAddr>,
-    /// Processes that want to join, with their addresses.
+    /// Processes that request to join, with their wire addresses.
     pub joining: &'a [(ControllerId, SocketAddr)],
-    /// How long this member has led.
+    /// Time since this member became the leader.
     pub led_for: Millis,
 }
 
 impl GroupView<'_> {
-    /// Time since a member was last heard; one never heard counts from the
-    /// beginning of the leadership.
+    /// Time since the last contact with a member; without any contact, time since the beginning
+    /// of the leadership.
     fn silence(&self, member: ControllerId) -> Millis {
-        self.heard(member).unwrap_or(self.led_for)
+        self.last_contact(member).unwrap_or(self.led_for)
     }
 
-    /// Time since a member was last heard in this leadership, if it was.
-    fn heard(&self, member: ControllerId) -> Option<Millis> {
+    /// Time since the last contact with a member in this leadership; `None` without any contact.
+    fn last_contact(&self, member: ControllerId) -> Option<Millis> {
         if member == self.own {
             return Some(Millis(0));
         }
         let progress = self.members.progress.iter();
-        let known = progress.filter(|one| one.member == member);
-        known.filter_map(|one| one.silent_for).min()
+        let matching = progress.filter(|one| one.member == member);
+        matching.filter_map(|one| one.silent_for).min()
     }
 
-    /// Whether a learner is there now. Without having been heard it is not, however short
-    /// the leadership: it would hold every other change up until it is given up.
+    /// Whether a learner is live. Without any contact in this leadership it is not, however short
+    /// the leadership: its promotion would block all other changes until it times out.
     fn is_ready(&self, learner: ControllerId) -> bool {
-        let heard = self.heard(learner);
-        heard.is_some_and(|heard| heard < LIVE_WITHIN)
+        let last_contact = self.last_contact(learner);
+        last_contact.is_some_and(|silent_for| silent_for < LIVE_WITHIN)
     }
 
-    /// Whether the learner now lives where the voter did: of two identities at an address
-    /// the one that was heard last.
-    fn has_place_of(&self, learner: ControllerId, voter: ControllerId) -> bool {
+    /// Whether the learner has replaced the voter at its address: of two identities at an address,
+    /// the one with the most recent contact is current.
+    fn has_address_of(&self, learner: ControllerId, voter: ControllerId) -> bool {
         self.shares_address(voter, learner) && self.silence(voter) >= self.silence(learner)
     }
 
@@ -70,32 +69,32 @@
     }
 }
 
-/// The next change, if one is due.
+/// The next membership change, if one is due.
 #[must_use]
 pub fn next_change(view: &GroupView<'_>) -> Option<MembershipChange> {
     if !view.members.settled {
         return None;
     }
     let membership = &view.members.membership;
-    let known = membership.all();
-    let new = view.joining.iter().find(|(id, _)| !known.contains(id));
+    let members = membership.all();
+    let new = view.joining.iter().find(|(id, _)| !members.contains(id));
     if let Some((id, _)) = new {
         return Some(MembershipChange::AddLearner(*id));
     }
     let mut learners = membership.learners.iter().copied();
     let ready = learners.clone().filter(|id| view.is_ready(*id));
     for learner in ready {
-        if let Some(change) = place_for(view, learner) {
+        if let Some(change) = change_for_learner(view, learner) {
             return Some(change);
         }
     }
-    let forgotten = learners.find(|id| view.silence(*id) > FORGET_AFTER);
-    forgotten.map(MembershipChange::Remove)
+    let silent = learners.find(|id| view.silence(*id) > REMOVE_AFTER);
+    silent.map(MembershipChange::Remove)
 }
 
-/// A member whose address the replicated state lacks, with the address that the leader
-/// knows. Without it a later leader may not know where that member is, and finds neither
-/// it nor a process that comes in its place.
+/// A member whose address is missing in the replicated state, with the address that the leader
+/// has in `known`. Without the recorded address, a later leader may be unable to reach that
+/// member, or to recognise a process that replaces it at the same address.
 #[must_use]
 pub fn next_address_to_record(
     members: &BTreeSet<ControllerId>,
@@ -103,25 +102,25 @@
     known: &BTreeMap<ControllerId, SocketAddr>,
 ) -> Option<(ControllerId, SocketAddr)> {
     let unrecorded = members.iter().filter(|id| !recorded.contains_key(id));
-    let mut found = unrecorded.filter_map(|id| Some((*id, *known.get(id)?)));
-    found.next()
+    let mut addresses = unrecorded.filter_map(|id| Some((*id, *known.get(id)?)));
+    addresses.next()
 }
 
-/// What becomes of a learner that stands ready.
-fn place_for(view: &GroupView<'_>, learner: ControllerId) -> Option<MembershipChange> {
+/// The change that makes a ready learner a voter, if one is due.
+fn change_for_learner(view: &GroupView<'_>, learner: ControllerId) -> Option<MembershipChange> {
     let voters = &view.members.membership.voters;
     let others = voters.iter().copied().filter(|id| *id != view.own);
-    let wiped = others.clone().find(|id| view.has_place_of(learner, *id));
-    if let Some(lost) = wiped {
+    let replaced = others.clone().find(|id| view.has_address_of(learner, *id));
+    if let Some(lost) = replaced {
         return Some(MembershipChange::Replace { lost, learner });
     }
     if voters.len() < MAX_VOTERS {
         return Some(MembershipChange::Promote(learner));
     }
-    let silent = others.max_by_key(|id| view.silence(*id))?;
-    let lost = view.silence(silent) > REPLACE_AFTER;
-    lost.then_some(MembershipChange::Replace {
-        lost: silent,
+    let most_silent = others.max_by_key(|id| view.silence(*id))?;
+    let is_lost = view.silence(most_silent) > REPLACE_AFTER;
+    is_lost.then_some(MembershipChange::Replace {
+        lost: most_silent,
         learner,
     })
 }
