--- a/crates/membership/tests/joiner.rs
+++ b/crates/membership/tests/joiner.rs
@@ -1,4 +1,4 @@
-//! Whom a process asks that wants to join, and when.
+//! Schedule of the join requests of a process.
 
 use courseshunt_membership::{JoinReply, Joiner, JoinerView};
 use courseshunt_types::Timestamp;
@@ -6,12 +6,12 @@
 
 const OWN: u16 = 1;
 
-fn address(number: u16) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], number))
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
 }
 
 fn due(joiner: &mut Joiner, known: &[u16], is_member: bool, now: u64) -> Vec<u16> {
-    let known: Vec<SocketAddr> = known.iter().map(|one| address(*one)).collect();
+    let known: Vec<SocketAddr> = known.iter().map(|port| address(*port)).collect();
     let view = JoinerView {
         own_address: address(OWN),
         leader_known: false,
@@ -26,12 +26,12 @@
     JoinReply {
         leads: false,
         leader: leader.map(address),
-        members: members.iter().map(|one| address(*one)).collect(),
+        members: members.iter().map(|port| address(*port)).collect(),
     }
 }
 
 #[test]
-fn the_leader_that_an_answer_names_is_asked_at_once_and_first() {
+fn reported_leader_is_contacted_immediately_and_first() {
     let mut joiner = Joiner::default();
     assert_eq!(due(&mut joiner, &[OWN, 2], false, 0), [2]);
     joiner.reply_received(
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn once_a_leader_takes_it_in_only_that_one_is_asked_again() {
+fn only_the_accepting_leader_is_contacted_again() {
     let mut joiner = Joiner::default();
     due(&mut joiner, &[2, 3], false, 0);
     let leads = JoinReply {
@@ -57,20 +57,20 @@
 }
 
 #[test]
-fn one_that_does_not_answer_is_asked_again_and_later_each_time() {
+fn requests_without_a_reply_are_retried_with_backoff() {
     let mut joiner = Joiner::default();
-    let mut asked = Vec::new();
+    let mut sent_at = Vec::new();
     for now in (0..6_000).step_by(100) {
         if !due(&mut joiner, &[2], false, now).is_empty() {
             joiner.no_reply(address(2), Timestamp::at(now));
-            asked.push(now);
+            sent_at.push(now);
         }
     }
-    assert_eq!(asked, [0, 600, 1_800, 3_000, 4_200, 5_400]);
+    assert_eq!(sent_at, [0, 600, 1_800, 3_000, 4_200, 5_400]);
 }
 
 #[test]
-fn a_member_leaves_an_election_alone_before_it_asks() {
+fn member_waits_for_an_election_before_it_requests_to_join() {
     let mut joiner = Joiner::default();
     assert_eq!(due(&mut joiner, &[2], true, 1_000), [0_u16; 0]);
     assert_eq!(due(&mut joiner, &[2], true, 2_400), [0_u16; 0]);
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn only_so_many_questions_are_under_way() {
+fn number_of_requests_in_flight_is_bounded() {
     let mut joiner = Joiner::default();
-    let many: Vec<u16> = (2..40).collect();
-    assert_eq!(due(&mut joiner, &many, false, 0).len(), 6);
-    assert_eq!(due(&mut joiner, &many, false, 100).len(), 0);
+    let addresses: Vec<u16> = (2..40).collect();
+    assert_eq!(due(&mut joiner, &addresses, false, 0).len(), 6);
+    assert_eq!(due(&mut joiner, &addresses, false, 100).len(), 0);
 }
--- a/crates/membership/tests/redundancy.rs
+++ b/crates/membership/tests/redundancy.rs
@@ -1,4 +1,4 @@
-//! How many losses a group can bear, in a table, and how long it has been less than whole.
+//! Number of losses that a group tolerates, and the time without full redundancy.
 
 use courseshunt_consensus::{MemberProgress, MembersView, Membership};
 use courseshunt_membership::{Redundancy, RedundancyTracker};
@@ -6,7 +6,8 @@
 
 const OWN: ControllerId = ControllerId(1);
 
-/// A group led by member 1, whose other voters were silent for these milliseconds.
+/// Redundancy of a group led by member 1, whose other voters were silent for these times, in
+/// milliseconds.
 fn group(silent_ms: &[u64]) -> Redundancy {
     let others = (2..).map(ControllerId).zip(silent_ms);
     let progress = others.clone().map(|(member, silent)| MemberProgress {
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn a_silent_voter_is_one_loss_fewer_that_can_be_borne() {
+fn silent_voter_reduces_the_tolerated_losses() {
     let cases: [(&[u64], usize, usize, bool); 5] = [
         (&[10, 10, 10, 10], 5, 2, true),
         (&[10, 10, 10, 5_000], 4, 1, false),
@@ -33,25 +34,25 @@
         (&[10, 5_000, 5_000, 5_000], 2, 0, false),
         (&[10, 10], 3, 1, false),
     ];
-    for (silent, live, bearable, full) in cases {
-        let seen = group(silent);
-        let told = (seen.live_voters, seen.bearable_losses, seen.is_full());
-        assert_eq!(told, (live, bearable, full), "{silent:?}");
+    for (silent, live, tolerated, full) in cases {
+        let group = group(silent);
+        let observed = (group.live_voters, group.bearable_losses, group.is_full());
+        assert_eq!(observed, (live, tolerated, full), "{silent:?}");
     }
 }
 
 #[test]
-fn the_time_below_full_redundancy_counts_until_the_group_is_whole_again() {
-    let (whole, one_lost) = (group(&[10; 4]), group(&[10, 10, 10, 5_000]));
-    let mut watch = RedundancyTracker::default();
-    assert!(watch.update(whole, Timestamp(1_000)));
+fn time_below_full_redundancy_ends_when_it_is_full_again() {
+    let (full, one_lost) = (group(&[10; 4]), group(&[10, 10, 10, 5_000]));
+    let mut tracker = RedundancyTracker::default();
+    assert!(tracker.update(full, Timestamp(1_000)));
     assert!(
-        !watch.update(whole, Timestamp(1_200)),
-        "nothing has changed"
+        !tracker.update(full, Timestamp(1_200)),
+        "an equal state is reported as a change"
     );
-    assert!(watch.update(one_lost, Timestamp(2_000)));
-    assert!(!watch.update(one_lost, Timestamp(9_000)));
-    assert_eq!(watch.below_full_for(Timestamp(9_000)), Millis(7_000));
-    assert!(watch.update(whole, Timestamp(9_200)));
-    assert_eq!(watch.below_full_for(Timestamp(9_300)), Millis(0));
+    assert!(tracker.update(one_lost, Timestamp(2_000)));
+    assert!(!tracker.update(one_lost, Timestamp(9_000)));
+    assert_eq!(tracker.below_full_for(Timestamp(9_000)), Millis(7_000));
+    assert!(tracker.update(full, Timestamp(9_200)));
+    assert_eq!(tracker.below_full_for(Timestamp(9_300)), Millis(0));
 }
--- a/crates/membership/tests/repair.rs
+++ b/crates/membership/tests/repair.rs
@@ -1,4 +1,4 @@
-//! The leader's decisions on the members, in a table.
+//! Membership changes that the leader decides, as a table of cases.
 
 use courseshunt_consensus::{MemberProgress, MembersView, Membership, MembershipChange};
 use courseshunt_membership::{GroupView, next_change};
@@ -12,24 +12,24 @@
     name: &'static str,
     voters: &'static [u64],
     learners: &'static [u64],
-    /// Members with the time since they were heard; others were just heard.
+    /// Members with the time since the last contact, in milliseconds; 10 ms for all others.
     silent: &'static [(u64, u64)],
-    /// Members that this leader has never heard, a moment after its election.
-    unheard: &'static [u64],
-    /// Members at another member's address.
-    at: &'static [(u64, u64)],
+    /// Members without any contact with this leader, 100 ms after its election.
+    no_contact: &'static [u64],
+    /// Members that have the address of another member, as (member, other member).
+    same_address: &'static [(u64, u64)],
     joining: &'static [u64],
     settled: bool,
     expected: Option<MembershipChange>,
 }
 
-const CALM: Case = Case {
-    name: "calm",
+const BASE: Case = Case {
+    name: "all voters live",
     voters: &[1, 2, 3, 4, 5],
     learners: &[],
     silent: &[],
-    unheard: &[],
-    at: &[],
+    no_contact: &[],
+    same_address: &[],
     joining: &[],
     settled: true,
     expected: None,
@@ -45,13 +45,13 @@
 
 fn run(case: &Case) -> Option<MembershipChange> {
     let all: Vec<u64> = case.voters.iter().chain(case.learners).copied().collect();
-    let progress = all.iter().filter(|one| **one != OWN).map(|one| {
+    let progress = all.iter().filter(|id| **id != OWN).map(|one| {
         let silent = case.silent.iter().find(|(member, _)| member == one);
         MemberProgress {
             member: id(*one),
             matched: LogIndex(9),
             silent_for: Some(Millis(silent.map_or(10, |(_, silent)| *silent)))
-                .filter(|_| !case.unheard.contains(one)),
+                .filter(|_| !case.no_contact.contains(one)),
         }
     });
     let members = MembersView {
@@ -65,7 +65,7 @@
     };
     let mut addresses: BTreeMap<ControllerId, SocketAddr> =
         all.iter().map(|one| (id(*one), address(*one))).collect();
-    for (member, other) in case.at {
+    for (member, other) in case.same_address {
         addresses.insert(id(*member), address(*other));
     }
     let joining: Vec<_> = case
@@ -78,7 +78,7 @@
         members: &members,
         addresses: &addresses,
         joining: &joining,
-        led_for: match case.unheard.is_empty() {
+        led_for: match case.no_contact.is_empty() {
             true => Millis(60_000),
             false => Millis(100),
         },
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn decisions() {
+fn next_change_for_each_state_of_the_group() {
     let replace = |lost, learner| {
         Some(MembershipChange::Replace {
             lost: id(lost),
@@ -94,96 +94,96 @@
         })
     };
     let cases = [
-        CALM,
+        BASE,
         Case {
-            name: "a process that asks is taken in as a learner",
+            name: "a process that requests to join is added as a learner",
             joining: &[6],
             expected: Some(MembershipChange::AddLearner(id(6))),
-            ..CALM
+            ..BASE
         },
         Case {
-            name: "a member that asks again changes nothing",
+            name: "a repeated request of a member changes nothing",
             joining: &[3],
-            ..CALM
+            ..BASE
         },
         Case {
-            name: "no second change before the first is settled",
+            name: "no second change while one is in progress",
             joining: &[6],
             settled: false,
-            ..CALM
+            ..BASE
         },
         Case {
             name: "a learner is promoted while there are too few voters",
             voters: &[1, 2, 3],
             learners: &[6],
             expected: Some(MembershipChange::Promote(id(6))),
-            ..CALM
+            ..BASE
         },
         Case {
-            name: "a learner that a new leader has not heard yet does not stand ready",
+            name: "a learner without contact with a new leader is not ready",
             voters: &[1, 2, 3],
             learners: &[6],
-            unheard: &[6],
-            ..CALM
+            no_contact: &[6],
+            ..BASE
         },
         Case {
-            name: "a voter that is heard keeps its place, whoever lived at its address before",
+            name: "a live voter stays, although a learner had its address before",
             learners: &[6],
             silent: &[(6, 300)],
-            at: &[(6, 3)],
-            ..CALM
+            same_address: &[(6, 3)],
+            ..BASE
         },
         Case {
             name: "a silent learner is not promoted",
             voters: &[1, 2, 3],
             learners: &[6],
             silent: &[(6, 900)],
-            ..CALM
+            ..BASE
         },
         Case {
-            name: "a spare learner stands ready",
+            name: "a ready learner stays a learner while all voters are live",
             learners: &[6],
-            ..CALM
+            ..BASE
         },
         Case {
-            name: "a lost disk's voter is replaced at once by its successor",
+            name: "a voter with a lost disk is replaced at once by the learner at its address",
             learners: &[6],
-            at: &[(6, 4)],
+            same_address: &[(6, 4)],
             expected: replace(4, 6),
-            ..CALM
+            ..BASE
         },
         Case {
-            name: "a lost disk's voter is replaced even in a small group",
+            name: "a voter with a lost disk is replaced although there are too few voters",
             voters: &[1, 2, 3],
             learners: &[6],
-            at: &[(6, 3)],
+            same_address: &[(6, 3)],
             expected: replace(3, 6),
-            ..CALM
+            ..BASE
         },
         Case {
             name: "a voter silent for a short while stays",
             learners: &[6],
             silent: &[(2, 2_000)],
-            ..CALM
+            ..BASE
         },
         Case {
             name: "a voter silent for long is replaced",
             learners: &[6],
             silent: &[(2, 2_600)],
             expected: replace(2, 6),
-            ..CALM
+            ..BASE
         },
         Case {
-            name: "a silent voter without a learner stays",
+            name: "a silent voter stays while there is no learner",
             silent: &[(2, 60_000)],
-            ..CALM
+            ..BASE
         },
         Case {
-            name: "a learner that is gone is forgotten",
+            name: "a learner silent for long is removed",
             learners: &[6],
             silent: &[(6, 21_000)],
             expected: Some(MembershipChange::Remove(id(6))),
-            ..CALM
+            ..BASE
         },
     ];
     for case in &cases {
