--- a/crates/services/examples/choice_costs.rs
+++ b/crates/services/examples/choice_costs.rs
@@ -1,7 +1,8 @@
-//! Prints what the choice of an instance costs a router, for 830, 10,000 and 20,000
+//! Prints the time that a router needs to choose an instance, for 830, 10,000 and 20,000
 //! instances and 299 models: `cargo run --release -p courseshunt-services --example
-//! choice_costs`. Microseconds on one whole core; the median of 1,001 choices. A rare model
-//! is on one instance in a hundred, a busy one on one in ten; a plain service has one in 28.
+//! choice_costs`. Microseconds on one dedicated core; the median of 1,001 choices. A rare model
+//! is loaded on one instance in 100, the busy model on one in 10; the service without models
+//! has one instance in 28.
 
 use courseshunt_services::{
     InstanceDirectory, InstanceState, InstanceUsage, InstanceView, PrefixPart, PromptShape,
@@ -14,11 +15,12 @@
 const MODELS: u32 = 298;
 const CHOICES: u64 = 1_001;
 const ROUTERS: u32 = 985;
-const OWN_LIMIT: u32 = 40;
-/// One of so many instances is a plain one.
-const PLAIN_PART: u32 = 28;
-/// One of so many model instances holds the busy model.
-const BUSY_PART: u32 = 10;
+/// Maximum number of requests in flight of this router at one instance.
+const LOCAL_LIMIT: u32 = 40;
+/// One instance in this number belongs to the service without models.
+const PLAIN_INTERVAL: u32 = 28;
+/// One instance with models in this number has the busy model loaded.
+const BUSY_INTERVAL: u32 = 10;
 
 fn model(name: String) -> ResidentModel {
     ResidentModel {
@@ -29,12 +31,12 @@
 }
 
 fn view(number: u32) -> InstanceView {
-    let plain = number.is_multiple_of(PLAIN_PART);
+    let plain = number.is_multiple_of(PLAIN_INTERVAL);
     let mut models = Vec::new();
     if !plain {
         let rare = (0..3).map(|offset| (number * 3 + offset) % MODELS);
         models.extend(rare.map(|number| model(format!("rare-{number}"))));
-        if number.is_multiple_of(BUSY_PART) {
+        if number.is_multiple_of(BUSY_INTERVAL) {
             models.push(model("busy".to_owned()));
         }
     }
@@ -61,8 +63,13 @@
     }
 }
 
-/// The median time of a choice and its sending, in microseconds.
-fn choice(fed: &InstanceDirectory, usage: &[InstanceUsage], service: &str, model: &str) -> f64 {
+/// The median time to choose an instance and record the request, in microseconds.
+fn median_choice_us(
+    directory: &InstanceDirectory,
+    usage: &[InstanceUsage],
+    service: &str,
+    model: &str,
+) -> f64 {
     let mut selector = Selector::new(Zone::from("zone-1")).seeded(7);
     selector.set_routers(ROUTERS);
     let mut times: Vec<f64> = Vec::new();
@@ -72,12 +79,12 @@
             selector.set_usage(usage, Millis(500), now);
         }
         let shape = shape(model, number);
-        let began = Instant::now();
-        let views = fed.holders(service, model);
-        let chosen = selector.choose(&shape, views, &[], OWN_LIMIT, now);
+        let started = Instant::now();
+        let views = directory.holders(service, model);
+        let chosen = selector.choose(&shape, views, &[], LOCAL_LIMIT, now);
         let chosen = chosen.expect("a choice");
         selector.begin(&chosen, &shape, now);
-        times.push(began.elapsed().as_secs_f64() * 1e6);
+        times.push(started.elapsed().as_secs_f64() * 1e6);
         selector.first_answer(&chosen, Millis(30), true);
         selector.end(&chosen, true);
     }
@@ -86,11 +93,11 @@
 }
 
 fn main() {
-    println!("instances | a rare model | a busy model | a plain service");
+    println!("instances | rare model | busy model | service without models");
     for instances in SIZES {
-        let mut fed = InstanceDirectory::default();
-        fed.change((0..instances).map(view).collect(), Vec::new());
-        // A fifth of the instances is in use.
+        let mut directory = InstanceDirectory::default();
+        directory.change((0..instances).map(view).collect(), Vec::new());
+        // One instance in five has requests in flight.
         let usage: Vec<InstanceUsage> = (0..instances)
             .step_by(5)
             .map(|number| InstanceUsage {
@@ -99,9 +106,9 @@
                 prompt_tokens: number % 7 * 500,
             })
             .collect();
-        let rare = choice(&fed, &usage, "models", "rare-7");
-        let busy = choice(&fed, &usage, "models", "busy");
-        let plain = choice(&fed, &usage, "plain", "");
+        let rare = median_choice_us(&directory, &usage, "models", "rare-7");
+        let busy = median_choice_us(&directory, &usage, "models", "busy");
+        let plain = median_choice_us(&directory, &usage, "plain", "");
         println!("{instances} | {rare:.1} | {busy:.1} | {plain:.1}");
     }
 }
--- a/crates/services/examples/fleet_costs.rs
+++ b/crates/services/examples/fleet_costs.rs
@@ -1,6 +1,6 @@
-//! Prints what the pure parts cost whose work grows with the fleet, for 3,000, 10,000 and
-//! 20,000 instances and 299 models: `cargo run --release -p courseshunt-services --example
-//! fleet_costs`. Milliseconds on one whole core; the median of several runs.
+//! Prints the time of the operations whose work grows with the fleet, without I/O, for 3,000,
+//! 10,000 and 20,000 instances and 299 models: `cargo run --release -p courseshunt-services
+//! --example fleet_costs`. Milliseconds on one dedicated core; the median of 7 runs.
 
 use courseshunt_services::{
     CachedWeights, Engine, InstanceDigests, InstanceDirectory, InstanceState, InstanceView,
@@ -15,14 +15,14 @@
 const MODELS: u32 = 299;
 const RUNS: usize = 7;
 const NOW: Timestamp = Timestamp(100_000);
-/// A new leader takes the weight store for used up.
+/// Time from which a new leader may load from the weight store: its rate limiter starts empty.
 const STORE_READY: Timestamp = Timestamp(101_000);
 
 fn configuration() -> Arc<ServiceConfiguration> {
     configuration_with(MODELS)
 }
 
-/// A request that waits for a model.
+/// Demand of one request that is waiting for a model.
 fn demand(model: u32) -> ModelDemand {
     ModelDemand {
         service: "service".to_owned(),
@@ -101,14 +101,14 @@
     engine
 }
 
-/// The median time of `work` on what `prepare` makes, in milliseconds.
-fn median<T>(prepare: impl Fn() -> T, mut work: impl FnMut(&mut T)) -> f64 {
+/// The median time of `work` on a new result of `prepare`, in milliseconds.
+fn median_ms<T>(prepare: impl Fn() -> T, mut work: impl FnMut(&mut T)) -> f64 {
     let mut times: Vec<f64> = (0..RUNS)
         .map(|_| {
             let mut prepared = prepare();
-            let began = Instant::now();
+            let started = Instant::now();
             work(&mut prepared);
-            began.elapsed().as_secs_f64() * 1_000.0
+            started.elapsed().as_secs_f64() * 1_000.0
         })
         .collect();
     times.sort_by(f64::total_cmp);
@@ -117,11 +117,11 @@
 
 fn main() {
     println!(
-        "instances | take over | register all again | round | for one waited for | next ready, 1,000 times | tell all | digests"
+        "instances | seed views | re-register all | planning round | round for a waiting request | next ready, 1,000 calls | apply all views | digests"
     );
     for instances in SIZES {
         let views: Vec<InstanceView> = engine(instances).views(NOW);
-        let take_over = median(
+        let seed = median_ms(
             || {
                 let mut empty = PlacementEngine::new(PlacementSettings::default());
                 empty.configure(configuration(), NOW);
@@ -133,7 +133,7 @@
                 }
             },
         );
-        let again = median(
+        let reregister = median_ms(
             || engine(instances),
             |engine| {
                 for number in 0..instances {
@@ -141,20 +141,26 @@
                 }
             },
         );
-        let round = median(|| engine(instances), |engine| drop(engine.plan(NOW)));
-        let waited = median(
+        let round = median_ms(|| engine(instances), |engine| drop(engine.plan(NOW)));
+        let waiting = median_ms(
             || {
                 let mut engine = engine(instances);
                 drop(engine.plan(NOW));
                 engine.configure(configuration_with(MODELS + 1), NOW);
                 drop(engine.plan(NOW));
-                let wanted = demand(MODELS);
-                engine.report_usage("router", Vec::new(), &[wanted], STORE_READY);
+                let waiting = demand(MODELS);
+                engine.report_usage("router", Vec::new(), &[waiting], STORE_READY);
                 engine
             },
-            |engine| assert_eq!(engine.plan_waited(STORE_READY).len(), 1, "it has a place"),
+            |engine| {
+                assert_eq!(
+                    engine.plan_waited(STORE_READY).len(),
+                    1,
+                    "a load target was found"
+                )
+            },
         );
-        let ready = median(
+        let ready = median_ms(
             || engine(instances),
             |engine| {
                 for _ in 0..1_000 {
@@ -162,12 +168,12 @@
                 }
             },
         );
-        let tell = median(InstanceDirectory::default, |fed| {
-            std::hint::black_box(fed.change(views.clone(), Vec::new()));
+        let apply = median_ms(InstanceDirectory::default, |directory| {
+            std::hint::black_box(directory.change(views.clone(), Vec::new()));
         });
-        let digests = median(|| (), |()| drop(InstanceDigests::of(&views)));
+        let digests = median_ms(|| (), |()| drop(InstanceDigests::of(&views)));
         println!(
-            "{instances} | {take_over:.1} | {again:.1} | {round:.1} | {waited:.2} | {ready:.3} | {tell:.1} | {digests:.1}"
+            "{instances} | {seed:.1} | {reregister:.1} | {round:.1} | {waiting:.2} | {ready:.3} | {apply:.1} | {digests:.1}"
         );
     }
 }
--- a/crates/services/tests/configuration.rs
+++ b/crates/services/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The judge's verdicts and the route look-up, in tables.
+//! Validation of configurations, route look-up and the choice of a target.
 
 use courseshunt_services::routes::pick_target;
 use courseshunt_services::{
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn faults_are_refused() {
+fn invalid_configurations_are_rejected() {
     type Check = fn(&ConfigurationError) -> bool;
     let mut no_timeout = route("r", "h", "/a/", &[("one", 1.0)]);
     no_timeout.timeout = Millis(0);
@@ -60,7 +60,7 @@
             |error| matches!(error, ConfigurationError::UnknownService { .. }),
         ),
         (
-            "same place",
+            "duplicate route",
             vec![
                 route("r", "h", "/a/", &[("one", 1.0)]),
                 route("s", "h", "/a/", &[("two", 1.0)]),
@@ -68,7 +68,7 @@
             |error| matches!(error, ConfigurationError::DuplicateRoute { .. }),
         ),
         (
-            "no weight",
+            "weights that add up to 0",
             vec![route("r", "h", "/a/", &[("one", 0.0), ("two", 0.0)])],
             |error| matches!(error, ConfigurationError::InvalidWeights { .. }),
         ),
@@ -80,7 +80,7 @@
         ("no targets", vec![route("r", "h", "/a/", &[])], |error| {
             matches!(error, ConfigurationError::InvalidWeights { .. })
         }),
-        ("no timeout", vec![no_timeout], |error| {
+        ("timeout of 0", vec![no_timeout], |error| {
             matches!(error, ConfigurationError::ZeroTimeout { .. })
         }),
     ];
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_is_found() {
+fn longest_matching_prefix_is_found() {
     let routes = vec![
         route("all", "h", "/", &[("one", 1.0)]),
         route("a", "h", "/a/", &[("one", 1.0)]),
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn weights_share_the_traffic() {
+fn traffic_is_split_by_weight() {
     let targets = route(
         "r",
         "h",
@@ -123,8 +123,8 @@
         &[("one", 90.0), ("none", 0.0), ("two", 10.0)],
     )
     .targets;
-    let drawn = (0..1000).map(|number| pick_target(&targets, f64::from(number) / 1000.0));
-    let names: Vec<&str> = drawn
+    let picked = (0..1000).map(|draw| pick_target(&targets, f64::from(draw) / 1000.0));
+    let names: Vec<&str> = picked
         .flatten()
         .map(|target| target.service.as_str())
         .collect();
--- a/crates/services/tests/digest.rs
+++ b/crates/services/tests/digest.rs
@@ -1,4 +1,5 @@
-//! A router that comes back is sent what it lacks, and no more.
+//! Digests show exactly the buckets in which a reconnecting router differs; intervals between
+//! messages grow with the fleet.
 
 use courseshunt_services::digest::{BUCKET_COUNT, bucket_of};
 use courseshunt_services::feed::{instances_interval, usage_interval, usage_lag};
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn equal_fleets_do_not_differ_in_whatever_order_and_with_later_loads() {
+fn order_and_remaining_load_time_do_not_change_the_digests() {
     let mut other = fleet();
     other.reverse();
     for one in &mut other {
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn each_change_of_an_instance_shows_in_its_part_alone() {
+fn each_change_of_an_instance_shows_only_in_its_bucket() {
     type Change = fn(&mut InstanceView);
     let changes: [Change; 9] = [
         |one| one.service.push('x'),
@@ -58,13 +59,13 @@
     for (number, change) in changes.iter().enumerate() {
         let mut other = fleet();
         change(&mut other[1_234]);
-        let part = bucket_of(&other[1_234].id);
-        assert_eq!(differing(&fleet(), &other), [part], "change {number}");
+        let bucket = bucket_of(&other[1_234].id);
+        assert_eq!(differing(&fleet(), &other), [bucket], "change {number}");
     }
 }
 
 #[test]
-fn instances_that_one_side_lacks_show() {
+fn missing_instances_show_in_their_buckets() {
     let mut other = fleet();
     let missing = other.remove(77);
     assert_eq!(differing(&fleet(), &other), [bucket_of(&missing.id)]);
@@ -72,16 +73,16 @@
 }
 
 #[test]
-fn the_leaders_messages_grow_no_faster_than_the_routers() {
+fn interval_of_changed_instances_grows_with_the_routers_up_to_a_bound() {
     assert_eq!(instances_interval(7), Millis(3));
     assert_eq!(instances_interval(292), Millis(146));
     assert_eq!(instances_interval(100_000), Millis(250));
 }
 
-/// The use of instances is told soon where that is cheap, and rarely where long
-/// sums go to many routers: what the leader writes in a second stays bounded.
+/// Usage is sent often to few routers, and rarely where long sums go to many routers. With one
+/// interval for all sizes, what the leader writes per second would be unbounded.
 #[test]
-fn sums_of_use_are_rarer_where_they_are_long_and_go_to_many() {
+fn usage_interval_grows_with_routers_and_instances() {
     let cases = [
         ((7, 22), 120),
         ((16, 3_000), 120),
@@ -91,9 +92,9 @@
         ((340, 830), 480),
     ];
     for ((routers, instances), interval) in cases {
-        let told = usage_interval(routers, instances);
+        let actual = usage_interval(routers, instances);
         assert_eq!(
-            told,
+            actual,
             Millis(interval),
             "{routers} routers, {instances} instances"
         );
--- a/crates/services/tests/instance_directory.rs
+++ b/crates/services/tests/instance_directory.rs
@@ -1,5 +1,5 @@
-//! What a follower is told makes it hold what the feeding side holds, in any order of
-//! changes; and only what has changed is told.
+//! A follower that applies the returned changes holds the same views as the source, in any order
+//! of changes; unchanged views are not sent.
 
 use courseshunt_services::digest::{BUCKET_COUNT, bucket_of};
 use courseshunt_services::{InstanceDigests, InstanceDirectory, InstanceState, InstanceView};
@@ -27,44 +27,51 @@
 }
 
 #[test]
-fn what_is_known_is_not_told_again() {
-    let mut fed = InstanceDirectory::default();
-    let first = fed.change(vec![view(1, 1), view(2, 2)], Vec::new());
+fn unchanged_views_are_not_returned_again() {
+    let mut directory = InstanceDirectory::default();
+    let first = directory.change(vec![view(1, 1), view(2, 2)], Vec::new());
     assert_eq!(first.changed.len(), 2);
-    let again = fed.change(vec![view(1, 1), view(2, 3)], Vec::new());
+    let again = directory.change(vec![view(1, 1), view(2, 3)], Vec::new());
     assert_eq!(again.changed, [view(2, 3)]);
     let mut loading = view(1, 1);
     loading.loading = vec![(ModelName::from("m"), Millis(900))];
     assert_eq!(
-        fed.change(vec![loading.clone()], Vec::new()).changed.len(),
+        directory
+            .change(vec![loading.clone()], Vec::new())
+            .changed
+            .len(),
         1
     );
-    // The time that is left has another meaning each time that it is told.
-    assert_eq!(fed.change(vec![loading], Vec::new()).changed.len(), 1);
+    // The remaining load time counts from the message, so an equal value is a change.
+    assert_eq!(directory.change(vec![loading], Vec::new()).changed.len(), 1);
 }
 
 #[test]
-fn an_instance_that_is_gone_is_told_also_where_it_is_unknown() {
-    let mut fed = InstanceDirectory::default();
+fn removal_of_an_unknown_instance_is_returned() {
+    let mut directory = InstanceDirectory::default();
     let gone = vec![RunnerId("i-9".to_owned())];
-    assert_eq!(fed.change(Vec::new(), gone.clone()).gone, gone);
+    assert_eq!(directory.change(Vec::new(), gone.clone()).gone, gone);
 }
 
 #[test]
-fn a_part_drops_others_only_when_it_is_complete() {
-    let mut fed = InstanceDirectory::default();
+fn only_a_complete_bucket_removes_other_instances() {
+    let mut directory = InstanceDirectory::default();
     let all: Vec<InstanceView> = (0..200).map(|number| view(number, number)).collect();
-    fed.change(all.clone(), Vec::new());
-    let part = bucket_of(&all[0].id);
-    let of_part = all.iter().filter(|one| bucket_of(&one.id) == part).count();
+    directory.change(all.clone(), Vec::new());
+    let bucket = bucket_of(&all[0].id);
+    let in_bucket = all
+        .iter()
+        .filter(|one| bucket_of(&one.id) == bucket)
+        .count();
     let kept = vec![all[0].clone()];
-    let news = fed.set_bucket(part, kept.clone(), false);
-    assert!(news.is_empty());
-    let news = fed.set_bucket(part, kept, true);
-    assert_eq!(news.gone.len(), of_part - 1);
-    assert_eq!(fed.len(), 200 - (of_part - 1));
+    let changes = directory.set_bucket(bucket, kept.clone(), false);
+    assert!(changes.is_empty());
+    let changes = directory.set_bucket(bucket, kept, true);
+    assert_eq!(changes.gone.len(), in_bucket - 1);
+    assert_eq!(directory.len(), 200 - (in_bucket - 1));
     assert!(
-        fed.set_bucket(BUCKET_COUNT + 7, Vec::new(), true)
+        directory
+            .set_bucket(BUCKET_COUNT + 7, Vec::new(), true)
             .is_empty()
     );
 }
@@ -73,39 +80,39 @@
 enum Step {
     Change(u32, u32),
     Remove(u32),
-    /// The follower loses its feed and comes back.
-    Return,
+    /// The follower disconnects, or reconnects and synchronises.
+    ToggleConnection,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         4 => (0..40_u32, 0..5_u32).prop_map(|(id, address)| Step::Change(id, address)),
         2 => (0..40_u32).prop_map(Step::Remove),
-        1 => Just(Step::Return),
+        1 => Just(Step::ToggleConnection),
     ];
     proptest::collection::vec(step, 0..120)
 }
 
-/// Sends a follower the parts in which it differs.
+/// Applies the buckets in which a follower differs.
 fn synchronize(source: &InstanceDirectory, follower: &mut InstanceDirectory) {
-    let known = follower.digests().clone();
-    let differing: Vec<usize> = source.digests().differing_buckets(&known).collect();
-    for part in differing {
-        follower.set_bucket(part, source.bucket(part).cloned().collect(), true);
+    let digests = follower.digests().clone();
+    let differing: Vec<usize> = source.digests().differing_buckets(&digests).collect();
+    for bucket in differing {
+        follower.set_bucket(bucket, source.bucket(bucket).cloned().collect(), true);
     }
 }
 
 proptest! {
     #[test]
-    fn a_follower_holds_what_the_source_holds(steps in steps()) {
+    fn follower_holds_the_same_views_as_the_source(steps in steps()) {
         let mut source = InstanceDirectory::default();
         let mut follower = InstanceDirectory::default();
         let mut connected = true;
         for step in steps {
-            let news = match step {
+            let changes = match step {
                 Step::Change(id, address) => source.change(vec![view(id, address)], Vec::new()),
                 Step::Remove(id) => source.change(Vec::new(), vec![RunnerId(format!("i-{id}"))]),
-                Step::Return => {
+                Step::ToggleConnection => {
                     connected = !connected;
                     if connected {
                         synchronize(&source, &mut follower);
@@ -114,7 +121,7 @@
                 }
             };
             if connected {
-                follower.change(news.changed, news.gone);
+                follower.change(changes.changed, changes.gone);
             }
         }
         synchronize(&source, &mut follower);
--- a/crates/services/tests/relay.rs
+++ b/crates/services/tests/relay.rs
@@ -1,5 +1,5 @@
-//! Registrations that pass through other controllers leave the leader with the
-//! same belief as those that it takes itself, whatever is lost on the way.
+//! Relayed registrations give the leader the same state as registrations that it receives itself,
+//! even if messages are lost.
 
 use courseshunt_services::{
     CachedWeights, InstanceState, PlacementEngine, PlacementSettings, Registration,
@@ -32,8 +32,8 @@
     PlacementEngine::new(PlacementSettings::default())
 }
 
-/// Sends what waits; the engine's wishes come back.
-fn pass_on(outbox: &mut RegistrationOutbox, engine: &mut PlacementEngine, now: Timestamp) {
+/// Relays what is queued, and once more the registrations that the engine lacks.
+fn relay_queued(outbox: &mut RegistrationOutbox, engine: &mut PlacementEngine, now: Timestamp) {
     for _ in 0..2 {
         for one in outbox.take(now) {
             if let Err(lacked) = engine.register_relayed(one, now) {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_repeated_registration_is_relayed_as_its_number() {
+fn repeated_registration_is_relayed_as_its_sequence_number() {
     let mut outbox = RegistrationOutbox::default();
     let now = Timestamp(1_000);
     outbox.restart(now);
@@ -56,20 +56,23 @@
     ));
     outbox.offer(registration(1, 2, 5), now);
     assert!(!outbox.is_due());
-    let again = RelayedRegistration::Unchanged {
+    let unchanged = RelayedRegistration::Unchanged {
         id: RunnerId::from("r1"),
         sequence: 2,
         previous_sequence: 1,
     };
-    assert_eq!(outbox.take(now), [again]);
+    assert_eq!(outbox.take(now), [unchanged]);
     outbox.offer(registration(1, 2, 6), now);
-    assert!(outbox.is_empty(), "a late registration changes nothing");
+    assert!(
+        outbox.is_empty(),
+        "a registration with an old sequence number was queued"
+    );
     outbox.offer(registration(1, 3, 6), now);
     assert!(outbox.is_due());
 }
 
 #[test]
-fn a_leader_that_lacks_the_registration_before_gets_it_whole() {
+fn leader_without_the_previous_registration_receives_the_complete_one() {
     let mut outbox = RegistrationOutbox::default();
     let mut leader = engine();
     let now = Timestamp(1_000);
@@ -77,26 +80,26 @@
     let lost = outbox.take(now);
     assert_eq!(lost.len(), 1);
     outbox.offer(registration(1, 2, 5), now);
-    pass_on(&mut outbox, &mut leader, now);
+    relay_queued(&mut outbox, &mut leader, now);
     assert_eq!(leader.views(now).len(), 1);
 }
 
 #[test]
-fn a_change_told_elsewhere_is_not_undone_by_a_repetition() {
-    let mut here = RegistrationOutbox::default();
+fn repetition_does_not_restore_a_state_that_another_controller_replaced() {
+    let mut outbox = RegistrationOutbox::default();
     let mut leader = engine();
     let now = Timestamp(1_000);
-    here.offer(registration(1, 1, 5), now);
-    pass_on(&mut here, &mut leader, now);
+    outbox.offer(registration(1, 1, 5), now);
+    relay_queued(&mut outbox, &mut leader, now);
     leader.register(registration(1, 2, 6), now);
-    here.offer(registration(1, 3, 5), now);
-    pass_on(&mut here, &mut leader, now);
+    outbox.offer(registration(1, 3, 5), now);
+    relay_queued(&mut outbox, &mut leader, now);
     let views = leader.views(now);
     assert_eq!(views[0].models[0].name.as_str(), "m5", "{views:?}");
 }
 
 #[test]
-fn silent_instances_are_forgotten_and_known_ones_sent_whole_to_a_new_leader() {
+fn new_leader_receives_complete_registrations_of_instances_that_still_register() {
     let mut outbox = RegistrationOutbox::default();
     outbox.offer(registration(1, 1, 5), Timestamp(0));
     outbox.offer(registration(2, 1, 5), Timestamp(5_000));
@@ -105,14 +108,15 @@
     assert_eq!(
         sent,
         [RelayedRegistration::Full(registration(2, 1, 5))],
-        "the other was silent for too long"
+        "a silent instance was not dropped"
     );
 }
 
-/// Three controllers, lost batches, changed leaders: after one last round of
-/// registrations the leader believes what each instance said last.
+/// Guards against a leader that holds an outdated registration. Three controllers relay to
+/// leaders that change, and batches are lost; after a last registration of each instance, the
+/// leader holds exactly those.
 #[test]
-fn whatever_is_lost_the_leader_believes_the_last_registration() {
+fn leader_holds_the_last_registration_after_lost_batches() {
     for seed in 0..200 {
         let mut random = Pcg32::seed_from_u64(seed);
         let mut draw = |below: u32| random.next_u32() % below;
@@ -126,17 +130,17 @@
                 if draw(4) == 0 {
                     *model = draw(3);
                 }
-                let told = registration(instance, sequence, *model);
+                let sent = registration(instance, sequence, *model);
                 match draw(4) as usize {
-                    3 => drop(leader.register(told, now)),
-                    controller => outboxes[controller].offer(told, now),
+                    3 => drop(leader.register(sent, now)),
+                    controller => outboxes[controller].offer(sent, now),
                 }
             }
             for outbox in &mut outboxes {
                 match draw(5) {
                     0 => drop(outbox.take(now)),
                     1 => outbox.restart(now),
-                    _ => pass_on(outbox, &mut leader, now),
+                    _ => relay_queued(outbox, &mut leader, now),
                 }
             }
             if draw(20) == 0 {
@@ -144,24 +148,25 @@
             }
         }
         for (instance, model) in (0_u32..).zip(models) {
-            let told = registration(instance, 100, model);
-            outboxes[draw(3) as usize].offer(told, now);
+            let sent = registration(instance, 100, model);
+            outboxes[draw(3) as usize].offer(sent, now);
         }
         for outbox in &mut outboxes {
-            pass_on(outbox, &mut leader, now);
+            relay_queued(outbox, &mut leader, now);
         }
         for (view, model) in leader.views(now).iter().zip(models) {
-            let believed = view.models[0].name.as_str();
-            assert_eq!(believed, format!("m{model}"), "seed {seed}: {view:?}");
+            let held = view.models[0].name.as_str();
+            assert_eq!(held, format!("m{model}"), "seed {seed}: {view:?}");
         }
         assert_eq!(leader.count(), 5, "seed {seed}");
     }
 }
 
-/// A controller that takes the registrations of twice as many instances as planned for
-/// sends a full message at once: gathering must not bound how many it passes on.
+/// Guards against a controller that falls behind with registrations: with twice the planned
+/// number of instances, waiting to fill a batch limited the number of relayed registrations. A
+/// full batch is due at once.
 #[test]
-fn a_full_message_of_repeated_registrations_is_due_at_once() {
+fn full_batch_of_repeated_registrations_is_due_at_once() {
     let mut outbox = RegistrationOutbox::default();
     let now = Timestamp::default();
     for number in 0..1_400 {
@@ -173,11 +178,11 @@
     for number in 0..1_400 {
         outbox.offer(registration(number, 2, 1), now);
     }
-    let mut messages = 0;
+    let mut batches = 0;
     while outbox.is_due() {
         assert!(!outbox.take(now).is_empty());
-        messages += 1;
+        batches += 1;
     }
-    assert_eq!(messages, 1_400 / 64, "all but the last part go at once");
-    assert!(!outbox.is_empty(), "the rest is gathered");
+    assert_eq!(batches, 1_400 / 64, "number of full batches due at once");
+    assert!(!outbox.is_empty(), "a partial batch was due at once");
 }
--- a/crates/services/tests/tenants.rs
+++ b/crates/services/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants: what is refused, whose a key is, what a request counts.
+//! Tenants: validation, look-up by key and units of a request.
 
 use courseshunt_services::{
     ConfigurationError, Quota, QuotaUnit, ServiceConfiguration, Tenant, TenantTable, validate,
@@ -22,7 +22,7 @@
     })
 }
 
-fn verdict(tenants: Vec<Tenant>) -> Result<(), ConfigurationError> {
+fn validate_tenants(tenants: Vec<Tenant>) -> Result<(), ConfigurationError> {
     validate(&ServiceConfiguration {
         tenants,
         ..ServiceConfiguration::default()
@@ -30,36 +30,36 @@
 }
 
 #[test]
-fn faults_are_refused_and_name_both_tenants_but_no_key() {
-    let shared = verdict(vec![
+fn invalid_tenants_are_rejected_by_name_without_revealing_keys() {
+    let shared = validate_tenants(vec![
         tenant("one", &["a", "secret"], None),
         tenant("two", &["secret"], None),
     ]);
     let problem = shared.expect_err("a shared key").to_string();
     assert!(problem.contains("one") && problem.contains("two"));
     assert!(!problem.contains("secret"), "{problem}");
-    let twice = verdict(vec![
+    let duplicate = validate_tenants(vec![
         tenant("one", &["a"], None),
         tenant("one", &["b"], None),
     ]);
     assert!(matches!(
-        twice,
+        duplicate,
         Err(ConfigurationError::DuplicateTenant { .. })
     ));
     for (rate, burst) in [(-1.0, 0.0), (f64::NAN, 0.0), (1.0, f64::INFINITY)] {
-        let verdict = verdict(vec![tenant("one", &["a"], quota(rate, burst))]);
-        let refused = matches!(verdict, Err(ConfigurationError::InvalidQuota { .. }));
-        assert!(refused, "{rate}, {burst}");
+        let result = validate_tenants(vec![tenant("one", &["a"], quota(rate, burst))]);
+        let rejected = matches!(result, Err(ConfigurationError::InvalidQuota { .. }));
+        assert!(rejected, "{rate}, {burst}");
     }
-    let fine = verdict(vec![
+    let valid = validate_tenants(vec![
         tenant("one", &["a", "a"], quota(1.0, 0.0)),
         tenant("two", &[], None),
     ]);
-    assert_eq!(fine, Ok(()));
+    assert_eq!(valid, Ok(()));
 }
 
 #[test]
-fn a_key_leads_to_its_tenant() {
+fn tenant_is_found_by_its_key() {
     let tenants = [
         tenant("one", &["a", "b"], None),
         tenant("two", &["c"], None),
@@ -77,14 +77,14 @@
 }
 
 #[test]
-fn requests_count_by_the_unit() {
-    let of = |unit| Quota {
+fn request_weight_depends_on_the_quota_unit() {
+    let quota = |unit| Quota {
         rate_per_second: 1.0,
         burst: 1.0,
         unit,
     };
-    assert_eq!(of(QuotaUnit::Requests).weight(500, 20), 1);
-    let tokens = of(QuotaUnit::Tokens { default_units: 200 });
+    assert_eq!(quota(QuotaUnit::Requests).weight(500, 20), 1);
+    let tokens = quota(QuotaUnit::Tokens { default_units: 200 });
     assert_eq!(tokens.weight(500, 20), 520);
     assert_eq!(tokens.weight(0, 0), 200);
 }
