--- a/crates/membership/src/joiner.rs
+++ b/crates/membership/src/joiner.rs
@@ -28,7 +28,7 @@
     /// Addresses in replies are contacted too.
     #[default]
     FollowReplies,
-    /// Addresses in replies are ignored; for comparisons in virtual time.
+    /// Addresses in replies are ignored; for comparison runs in the simulation.
     SeedsOnly,
 }
 
@@ -76,7 +76,8 @@
     /// Number of requests without a reply in a row.
     failures: u32,
     outcome: Option<JoinOutcome>,
-    /// Whether a reply named this address as the leader's.
+    /// Whether the last reply from this address, or a reply from another one, reported it as the
+    /// leader.
     reported_leader: bool,
 }
 
--- a/crates/services/src/feed.rs
+++ b/crates/services/src/feed.rs
@@ -114,7 +114,8 @@
         /// The leader's wire address, if known.
         leader: Option<String>,
     },
-    /// The sender has lost its leader and waits for the next one. Not sent on behalf of a leader.
+    /// The sender has lost its leader and waits for the next one. Does not count as a message
+    /// from a leader.
     AwaitingLeader,
     /// Identifies the leader whose feed follows; the first message of each feed.
     Leadership {
@@ -168,7 +169,8 @@
         /// Usage summed over all routers.
         instances: Vec<InstanceUsage>,
     },
-    /// Status of the tenants' accounts. A tenant that is left out is not restricted.
+    /// Status of the tenants' accounts. A tenant that is left out has no recent use, and its
+    /// requests need no query to the leader.
     Quotas {
         /// Epoch (leadership) that these accounts belong to.
         epoch: u64,
--- a/crates/services/src/lib.rs
+++ b/crates/services/src/lib.rs
@@ -2,7 +2,7 @@
 //! set of instances, the instance that serves a request and the models that each instance
 //! loads. No I/O, no clock, no threads.
 //!
-//! Invariants: a configuration that [`validate`](validation::validate) rejects is never in
+//! Invariants: a configuration that [`validate`] rejects is never in
 //! force; an instance that leaves is never selected again; orders never assign more to an
 //! instance than its memory and adapter slots hold.
 
