--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -11,7 +11,7 @@
 use courseshunt_controller::ProposeError;
 use courseshunt_http::{Body, full_body, read_limited, text_response};
 use courseshunt_records::emit;
-use courseshunt_services::{InstanceState, Registration, judge};
+use courseshunt_services::{InstanceState, Registration, validate};
 use courseshunt_state::{Command, CommandReply};
 use courseshunt_types::RunnerId;
 use courseshunt_wire::MAX_COMMAND_BYTES;
@@ -74,7 +74,7 @@
         Err(error) => return text_response(StatusCode::BAD_REQUEST, error.to_string()),
     };
     let configuration = shared.interface.read_configuration(&body);
-    let validated = configuration.and_then(|read| judge(&read).map(|()| read.number));
+    let validated = configuration.and_then(|read| validate(&read).map(|()| read.number));
     let number = match validated {
         Ok(number) => number,
         Err(error) => {
@@ -144,7 +144,7 @@
     };
     let id = registration.id.clone();
     shared.metrics.registration();
-    let leaving = registration.state == InstanceState::Leaving;
+    let leaving = registration.state == InstanceState::Draining;
     let admission = accept_registration(registration, shared);
     if leaving {
         return record_leaving(&id, false, shared).await;
@@ -196,7 +196,7 @@
             leader_unreachable_for: shared.relay.leader_unreachable_for(now),
         });
     }
-    let leaving = registration.state == InstanceState::Leaving;
+    let leaving = registration.state == InstanceState::Draining;
     let mut engine = shared.engine();
     if leaving {
         engine.mark_leaving(&registration.id);
--- a/crates/coordinator/src/feed.rs
+++ b/crates/coordinator/src/feed.rs
@@ -9,7 +9,7 @@
 use crate::{Shared, accept, member_thread, member_zones, relay, reports};
 use courseshunt_records::emit;
 use courseshunt_services::{
-    FeedMessage, InstanceDigests, RelayedReport, ReportMessage, RouterNews,
+    FeedMessage, InstanceDigests, RelayedReport, ReportMessage, RouterUpdate,
 };
 use courseshunt_types::{ControllerId, RunnerId};
 use courseshunt_wire::{Connection, Frame, Message, PeerIdentity, Receiver, Sender, WireError};
@@ -114,7 +114,7 @@
     report_router_event(
         &router,
         number,
-        RouterNews::Follows { configuration },
+        RouterUpdate::Connected { configuration },
         shared,
     );
     emit(&ControllerRecord::RouterFollows {
@@ -130,16 +130,16 @@
     if shared.sessions.close_router(&router, number) {
         emit(&ControllerRecord::RouterLost { router: &router });
     }
-    report_router_event(&router, number, RouterNews::Lost, shared);
+    report_router_event(&router, number, RouterUpdate::Disconnected, shared);
     ended
 }
 
-fn report_router_event(router: &str, session: u64, news: RouterNews, shared: &Shared) {
+fn report_router_event(router: &str, session: u64, update: RouterUpdate, shared: &Shared) {
     let router = router.to_owned();
     let report = RelayedReport {
         router,
         session,
-        news,
+        update,
     };
     reports::handle_local(report, shared);
 }
@@ -182,7 +182,7 @@
                 .sessions
                 .send_differing_buckets(router, number, &known);
         } else if let Message::ServiceReport(report) = message {
-            report_router_event(router, number, RouterNews::Reports(report), shared);
+            report_router_event(router, number, RouterUpdate::Report(report), shared);
         }
     }
     Ok(())
--- a/crates/coordinator/src/join.rs
+++ b/crates/coordinator/src/join.rs
@@ -58,17 +58,17 @@
     let known: BTreeSet<SocketAddr> = shared.addresses.all().into_values().collect();
     let known: Vec<SocketAddr> = known.into_iter().chain(shared.seeds.addresses()).collect();
     let view = JoinerView {
-        own: shared.settings.wire_address(),
+        own_address: shared.settings.wire_address(),
         leader_known,
         is_member: !view.membership.voters.is_empty(),
-        known: &known,
+        known_addresses: &known,
     };
     joiner.due(view, shared.clock.now())
 }
 
 fn pause(shared: &Shared, joiner: &Joiner) -> Duration {
     let now = shared.clock.now();
-    let next = joiner.next_at().map(|at| Duration::from(at.since(now)));
+    let next = joiner.next_due_at().map(|at| Duration::from(at.since(now)));
     next.map_or(MAX_CHECK_INTERVAL, |next| {
         next.clamp(MIN_CHECK_INTERVAL, MAX_CHECK_INTERVAL)
     })
@@ -76,7 +76,7 @@
 
 /// Records the processes that were sent requests and their answers, if they have changed.
 fn record_answers(joiner: &Joiner, recorded: &mut Vec<AskedMember>) {
-    let outcomes = joiner.answers();
+    let outcomes = joiner.outcomes();
     let asked: Vec<AskedMember> = outcomes.map(AskedMember::from).collect();
     if asked == *recorded {
         return;
@@ -90,8 +90,8 @@
 fn handle_outcome(shared: &Shared, joiner: &mut Joiner, (address, reply): JoinAttempt) {
     let now = shared.clock.now();
     match reply {
-        Some(reply) => joiner.answered(address, &reply, now),
-        None => joiner.unanswered(address, now),
+        Some(reply) => joiner.reply_received(address, &reply, now),
+        None => joiner.no_reply(address, now),
     }
 }
 
--- a/crates/coordinator/src/member_zones.rs
+++ b/crates/coordinator/src/member_zones.rs
@@ -5,7 +5,7 @@
 //! zones to all subscribers.
 
 use crate::{Shared, join};
-use courseshunt_services::{FeedMessage, MemberPlace};
+use courseshunt_services::{FeedMessage, MemberLocation};
 use courseshunt_types::Zone;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     }
 
     /// Applies the zones that the leader sends.
-    pub(crate) fn update(&self, members: &[MemberPlace]) {
+    pub(crate) fn update(&self, members: &[MemberLocation]) {
         for member in members {
             if let (Ok(address), Some(zone)) = (member.address.parse(), &member.zone) {
                 self.note(address, zone);
@@ -41,7 +41,7 @@
 pub(crate) async fn feed_message(shared: &Shared) -> FeedMessage {
     let members = join::members(shared).await;
     let zones = shared.member_zones.zones();
-    let members = members.into_iter().map(|(_, address)| MemberPlace {
+    let members = members.into_iter().map(|(_, address)| MemberLocation {
         address: address.to_string(),
         zone: zones.get(&address).cloned(),
     });
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -7,7 +7,9 @@
 use crate::records::ControllerRecord;
 use crate::{Shared, member_zones};
 use courseshunt_consensus::{MembersView, MembershipChange};
-use courseshunt_membership::{GroupView, Redundancy, RedundancyWatch, decide, next_to_record};
+use courseshunt_membership::{
+    GroupView, Redundancy, RedundancyTracker, next_address_to_record, next_change,
+};
 use courseshunt_records::emit;
 use courseshunt_state::Command;
 use courseshunt_types::{ControllerId, Millis, Timestamp};
@@ -24,7 +26,7 @@
 pub(crate) struct MembershipManager {
     led_since: Timestamp,
     checked_at: Timestamp,
-    redundancy: RedundancyWatch,
+    redundancy: RedundancyTracker,
     /// A change of the membership, or the record of an address, is in flight.
     change_in_flight: Arc<AtomicBool>,
 }
@@ -35,7 +37,7 @@
         Self {
             led_since: now,
             checked_at: now,
-            redundancy: RedundancyWatch::default(),
+            redundancy: RedundancyTracker::default(),
             change_in_flight: Arc::default(),
         }
     }
@@ -64,7 +66,7 @@
             joining: &joining,
             led_for: now.since(self.led_since),
         };
-        let change = decide(&view);
+        let change = next_change(&view);
         let unrecorded_address = unrecorded_address(shared, &members, &addresses);
         if change.is_none() && unrecorded_address.is_none() {
             return;
@@ -114,9 +116,9 @@
     let mut applicants = shared.applicants();
     for (stranger, address) in shared.addresses.strangers() {
         shared.addresses.set(stranger, address);
-        applicants.note(stranger, address, now);
+        applicants.record(stranger, address, now);
     }
-    applicants.present(&members.membership.all(), now)
+    applicants.pending(&members.membership.all(), now)
 }
 
 /// The next member whose address the replicated state lacks.
@@ -128,7 +130,7 @@
     let state = shared.replica.state();
     let recorded = state.members.iter();
     let recorded = recorded.filter_map(|(id, address)| Some((*id, address.parse().ok()?)));
-    next_to_record(&members.membership.all(), &recorded.collect(), known)
+    next_address_to_record(&members.membership.all(), &recorded.collect(), known)
 }
 
 /// Records a member's address in the log, so that every member has it.
--- a/crates/coordinator/src/reports.rs
+++ b/crates/coordinator/src/reports.rs
@@ -12,7 +12,7 @@
 use courseshunt_records::emit;
 use courseshunt_services::{
     FeedMessage, InstanceUsage, ModelDemand, QuotaAnswer, QuotaAsk, QuotaVerdict, RelayedReport,
-    ReportMessage, RouterNews,
+    ReportMessage, RouterUpdate,
 };
 use courseshunt_types::RunnerId;
 
@@ -38,25 +38,25 @@
     let RelayedReport {
         router,
         session,
-        news,
+        update,
     } = report;
-    match news {
-        RouterNews::Follows { configuration } => {
+    match update {
+        RouterUpdate::Connected { configuration } => {
             shared
                 .routers()
                 .subscribe(&router, session, path, configuration);
             shared.quotas().router_heard(&router);
             None
         }
-        RouterNews::Lost => {
+        RouterUpdate::Disconnected => {
             if shared.routers().disconnect(&router, session) {
                 remove_router(&router, shared);
             }
             None
         }
         // The router has subscribed by another connection since.
-        RouterNews::Reports(_) if !shared.routers().is_current(&router, session) => None,
-        RouterNews::Reports(report) => handle_report(&router, report, shared),
+        RouterUpdate::Report(_) if !shared.routers().is_current(&router, session) => None,
+        RouterUpdate::Report(report) => handle_report(&router, report, shared),
     }
 }
 
@@ -85,10 +85,13 @@
                 shared.wake.notify_one();
             }
         }
-        ReportMessage::AskQuotas(requests) => {
+        ReportMessage::QuotaQueries(requests) => {
             return Some(answer_quotas(router, &requests, shared));
         }
-        ReportMessage::Limits { words, asks } => {
+        ReportMessage::Limits {
+            reports: words,
+            queries: asks,
+        } => {
             return limits::handle_report(router, &words, &asks, shared);
         }
         ReportMessage::Ends { ends, answered } => {
--- a/crates/coordinator/src/sessions/mod.rs
+++ b/crates/coordinator/src/sessions/mod.rs
@@ -1,7 +1,7 @@
 //! The subscribers of this controller's feed: routers and, while it leads, other controllers;
 //! and the state that they have been sent.
 //!
-//! Invariant: a subscriber holds what [`FedInstances`] holds here, or has it in its queue. A
+//! Invariant: a subscriber holds what [`InstanceDirectory`] holds here, or has it in its queue. A
 //! message for all subscribers is encoded once. A subscriber whose queue is full is
 //! disconnected, and subscribes again.
 
@@ -9,8 +9,8 @@
 
 use crate::configuration_feed::ConfigurationFeed;
 use courseshunt_services::digest::bucket_of;
-use courseshunt_services::fed_instances::InstanceChanges;
-use courseshunt_services::{FedInstances, FeedMessage, InstanceDigests, InstanceView};
+use courseshunt_services::instance_directory::InstanceChanges;
+use courseshunt_services::{FeedMessage, InstanceDigests, InstanceDirectory, InstanceView};
 use courseshunt_types::RunnerId;
 use courseshunt_wire::{Frame, Message};
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,7 +45,7 @@
 /// State that a new subscriber is sent.
 #[derive(Debug, Default)]
 struct FeedState {
-    instances: FedInstances,
+    instances: InstanceDirectory,
     /// Encoded buckets of the instances; a bucket is removed when one of its instances changes.
     buckets: BTreeMap<usize, Arc<Frame>>,
     leadership: Option<Leadership>,
@@ -218,7 +218,7 @@
         let gone = feed_state.instances.keep(&live);
         feed_state.buckets.clear();
         drop(feed_state);
-        self.broadcast_to_controllers(FeedMessage::Live(live));
+        self.broadcast_to_controllers(FeedMessage::LiveInstances(live));
         self.broadcast_changes(InstanceChanges {
             changed: Vec::new(),
             gone,
@@ -279,7 +279,7 @@
     pub(crate) fn set_bucket(&self, bucket: u32, instances: Vec<InstanceView>, complete: bool) {
         let bucket = usize::try_from(bucket).unwrap_or(usize::MAX);
         let mut feed_state = self.feed_state();
-        let changes = feed_state.instances.set_part(bucket, instances, complete);
+        let changes = feed_state.instances.set_bucket(bucket, instances, complete);
         feed_state.buckets.remove(&bucket);
         drop(feed_state);
         self.broadcast_changes(changes);
@@ -432,7 +432,7 @@
 
     /// The buckets that differ from the ones of a subscriber with these digests.
     fn differing_frames(&mut self, known: &InstanceDigests) -> Vec<Arc<Frame>> {
-        let differing: Vec<usize> = self.instances.digests().differing(known).collect();
+        let differing: Vec<usize> = self.instances.digests().differing_buckets(known).collect();
         let buckets = differing.into_iter();
         buckets
             .filter_map(|bucket| self.bucket_frame(bucket))
@@ -443,9 +443,9 @@
         if let Some(frame) = self.buckets.get(&bucket) {
             return Some(frame.clone());
         }
-        let frame = encode(FeedMessage::Part {
-            part: u32::try_from(bucket).unwrap_or(u32::MAX),
-            instances: self.instances.part(bucket).cloned().collect(),
+        let frame = encode(FeedMessage::Bucket {
+            bucket: u32::try_from(bucket).unwrap_or(u32::MAX),
+            instances: self.instances.bucket(bucket).cloned().collect(),
             complete: self.leadership.is_some_and(|one| one.settled),
         })?;
         self.buckets.insert(bucket, frame.clone());
--- a/crates/coordinator/src/sessions/previous_release.rs
+++ b/crates/coordinator/src/sessions/previous_release.rs
@@ -5,7 +5,7 @@
 //! previous release does not obey limits.
 
 use super::{Sessions, encode, instances};
-use courseshunt_services::fed_instances::InstanceChanges;
+use courseshunt_services::instance_directory::InstanceChanges;
 use courseshunt_services::{FeedMessage, LimitWord};
 use courseshunt_types::RunnerId;
 use courseshunt_wire::Frame;
@@ -71,7 +71,7 @@
         settled.then(|| {
             let present = feed_state.instances.ids();
             let present = present.filter(|id| !feed_state.limited.contains(id));
-            FeedMessage::Live(present.cloned().collect())
+            FeedMessage::LiveInstances(present.cloned().collect())
         })
     }
 
--- a/crates/coordinator/src/upstream.rs
+++ b/crates/coordinator/src/upstream.rs
@@ -11,7 +11,7 @@
 use crate::records::ControllerRecord;
 use crate::sessions::Leadership;
 use courseshunt_records::emit;
-use courseshunt_services::{FeedMessage, RelayedReport, ReportMessage, RouterNews};
+use courseshunt_services::{FeedMessage, RelayedReport, ReportMessage, RouterUpdate};
 use courseshunt_types::Zone;
 use courseshunt_wire::{Connection, Message, Receiver, Sender, WireError};
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
         if !pending.linked {
             return;
         }
-        pending.urgent |= is_urgent(&report.news);
+        pending.urgent |= is_urgent(&report.update);
         if pending.reports.len() >= MAX_PENDING_REPORTS {
             pending.reports.drain(..MAX_BATCH_REPORTS);
         }
@@ -157,15 +157,19 @@
 }
 
 /// Whether a router or its requests wait for the effect of a report.
-fn is_urgent(news: &RouterNews) -> bool {
-    match news {
-        RouterNews::Reports(ReportMessage::Usage {
+fn is_urgent(update: &RouterUpdate) -> bool {
+    match update {
+        RouterUpdate::Report(ReportMessage::Usage {
             demand, leaving, ..
         }) => !leaving.is_empty() || demand.iter().any(|one| one.waiting > 0),
-        RouterNews::Reports(
-            ReportMessage::AskQuotas(_) | ReportMessage::Ends { .. } | ReportMessage::Limits { .. },
+        RouterUpdate::Report(
+            ReportMessage::QuotaQueries(_)
+            | ReportMessage::Ends { .. }
+            | ReportMessage::Limits { .. },
         ) => true,
-        RouterNews::Reports(_) | RouterNews::Follows { .. } | RouterNews::Lost => false,
+        RouterUpdate::Report(_) | RouterUpdate::Connected { .. } | RouterUpdate::Disconnected => {
+            false
+        }
     }
 }
 
@@ -175,7 +179,9 @@
         shared.upstream.set_leader_is_previous_release(false);
         let linked = shared.upstream.unlink();
         if !shared.replica.leads() && shared.feed_available.send_replace(false) {
-            shared.sessions.broadcast_to_routers(FeedMessage::Awaiting);
+            shared
+                .sessions
+                .broadcast_to_routers(FeedMessage::AwaitingLeader);
         }
         let problem = problem.as_ref().map(ToString::to_string);
         // Attempts to connect to an unreachable leader are repeated; an unchanged problem is
@@ -268,12 +274,12 @@
             shared.upstream.link(router_subscriptions(shared));
             emit(&ControllerRecord::UpstreamBegan { term });
         }
-        FeedMessage::Part {
-            part,
+        FeedMessage::Bucket {
+            bucket,
             instances,
             complete,
-        } => sessions.set_bucket(part, instances, complete),
-        FeedMessage::Live(live) => sessions.mark_settled(live),
+        } => sessions.set_bucket(bucket, instances, complete),
+        FeedMessage::LiveInstances(live) => sessions.mark_settled(live),
         FeedMessage::Instances { changed, gone } => sessions.send_instances(changed, gone),
         FeedMessage::Usage { .. } => {
             sessions.broadcast_to_routers(message);
@@ -290,7 +296,7 @@
             sessions.broadcast_to_routers(message);
         }
         FeedMessage::NoFeed { .. }
-        | FeedMessage::Awaiting
+        | FeedMessage::AwaitingLeader
         | FeedMessage::Configuration { .. }
         | FeedMessage::Digests(_)
         | FeedMessage::QuotaAnswers(_)
@@ -302,7 +308,7 @@
 pub(crate) fn router_subscriptions(shared: &Shared) -> Vec<RelayedReport> {
     let routers = shared.sessions.routers().into_iter();
     // The routers' next reports contain the configuration that is in force there.
-    let subscription = RouterNews::Follows { configuration: 0 };
+    let subscription = RouterUpdate::Connected { configuration: 0 };
     let routers = routers.map(|(router, session)| RelayedReport {
         router,
         session,
@@ -329,7 +335,9 @@
         {
             dismiss_routers(&shared, lost_quorum);
         } else {
-            shared.sessions.broadcast_to_routers(FeedMessage::Awaiting);
+            shared
+                .sessions
+                .broadcast_to_routers(FeedMessage::AwaitingLeader);
         }
     }
 }
--- a/crates/services/src/placement/instance/cached_weights.rs
+++ b/crates/services/src/placement/instance/cached_weights.rs
@@ -6,7 +6,7 @@
 //! from the instance's own disk.
 
 use crate::configuration::{Engine, ModelSpecification};
-use crate::instance::WeightCopies;
+use crate::instance::CachedWeights;
 use courseshunt_types::{Millis, ModelName, Timestamp};
 
 /// Weights that were loaded within this time may be missing from the instance's report.
@@ -59,7 +59,7 @@
     /// Applies the instance's report, and the loads that ended too recently to be part of it.
     pub(super) fn apply_report(
         &mut self,
-        reported: &WeightCopies,
+        reported: &CachedWeights,
         engine: Option<&Engine>,
         now: Timestamp,
     ) {
@@ -103,16 +103,16 @@
     }
 
     fn make_room(&mut self, model: &ModelName, engine: &Engine) {
-        evict(&mut self.in_memory, model, engine.copy_memory_mb, engine);
-        evict(&mut self.on_disk, model, engine.copy_disk_mb, engine);
+        evict(&mut self.in_memory, model, engine.cache_memory_mb, engine);
+        evict(&mut self.on_disk, model, engine.cache_disk_mb, engine);
     }
 
     fn cache(&mut self, model: &ModelName, engine: &Engine) {
         self.make_room(model, engine);
-        if size_mb(model, engine) <= engine.copy_memory_mb {
+        if size_mb(model, engine) <= engine.cache_memory_mb {
             mark_used(&mut self.in_memory, model);
         }
-        if size_mb(model, engine) <= engine.copy_disk_mb {
+        if size_mb(model, engine) <= engine.cache_disk_mb {
             mark_used(&mut self.on_disk, model);
         }
     }
--- a/crates/services/src/placement/instance/mod.rs
+++ b/crates/services/src/placement/instance/mod.rs
@@ -9,7 +9,7 @@
 
 use super::OrderAction;
 use crate::configuration::Engine;
-use crate::instance::{InstanceState, InstanceView, Registration, ResidentModel, WeightCopies};
+use crate::instance::{CachedWeights, InstanceState, InstanceView, Registration, ResidentModel};
 use cached_weights::CachedWeights;
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp};
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
     /// Adapters that are being loaded, with their models.
     pub pending: Vec<(ModelName, String)>,
     /// Weights that the instance can load without the weight store, if reported.
-    pub cached_weights: Option<WeightCopies>,
+    pub cached_weights: Option<CachedWeights>,
 }
 
 /// A model on the instance.
@@ -135,7 +135,7 @@
         };
         let models = instance.registration.models.clone();
         instance.replace_held(&models, &[], now);
-        let reported = &instance.registration.copies;
+        let reported = &instance.registration.cached_weights;
         instance.cached.apply_report(reported, engine, now);
         instance
     }
@@ -180,8 +180,8 @@
     }
 
     pub(super) fn leave(&mut self) -> bool {
-        let is_changed = self.state != InstanceState::Leaving;
-        self.state = InstanceState::Leaving;
+        let is_changed = self.state != InstanceState::Draining;
+        self.state = InstanceState::Draining;
         is_changed
     }
 
@@ -196,13 +196,13 @@
         }
         self.last_contact_at = now;
         let previous = self.view(now);
-        if registration.state == InstanceState::Leaving {
+        if registration.state == InstanceState::Draining {
             self.leave();
         }
         self.unreachable_from.clear();
         self.registration = registration;
         self.reconcile(engine, now);
-        let reported = &self.registration.copies;
+        let reported = &self.registration.cached_weights;
         self.cached.apply_report(reported, engine, now);
         let after = self.view(now);
         previous != after
--- a/crates/services/src/placement/mod.rs
+++ b/crates/services/src/placement/mod.rs
@@ -28,7 +28,7 @@
 pub use order::{Order, OrderAction, OrderOutcome, OrderRationale, PlacementStep};
 
 use crate::configuration::ServiceConfiguration;
-use crate::instance::{InstanceState, InstanceView, Registration, WeightCopies};
+use crate::instance::{CachedWeights, InstanceState, InstanceView, Registration};
 use crate::relay::RelayedRegistration;
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp};
 use demand::DemandTable;
@@ -169,7 +169,7 @@
             Incarnation::New { previous: None } | Incarnation::Current => {}
         }
         if self.leaving.contains(&id) {
-            registration.state = InstanceState::Leaving;
+            registration.state = InstanceState::Draining;
         }
         if self.terminated.contains_key(&id) || self.is_delayed_registration(&registration, now) {
             return false;
@@ -209,12 +209,12 @@
         now: Timestamp,
     ) -> Result<bool, RunnerId> {
         let registration = match relayed {
-            RelayedRegistration::Whole(registration) => registration,
-            RelayedRegistration::Again {
+            RelayedRegistration::Full(registration) => registration,
+            RelayedRegistration::Unchanged {
                 id,
                 sequence,
-                repeats,
-            } => match self.registration_with_sequence(&id, repeats) {
+                previous_sequence,
+            } => match self.registration_with_sequence(&id, previous_sequence) {
                 Some(last) => Registration {
                     sequence,
                     ..last.clone()
@@ -223,7 +223,7 @@
                 None => return Err(id),
             },
         };
-        if registration.state == InstanceState::Leaving {
+        if registration.state == InstanceState::Draining {
             self.mark_leaving(&registration.id);
         }
         Ok(self.register(registration, now))
@@ -239,7 +239,7 @@
     /// left unchanged.
     pub fn seed(&mut self, view: &InstanceView, now: Timestamp) {
         let is_present = self.instances.contains(&view.id);
-        if is_present || self.leaving.contains(&view.id) || view.state == InstanceState::Leaving {
+        if is_present || self.leaving.contains(&view.id) || view.state == InstanceState::Draining {
             return;
         }
         let registration = Registration {
@@ -252,7 +252,7 @@
             sequence: 0,
             remaining: None,
             models: view.models.clone(),
-            copies: WeightCopies::default(),
+            cached_weights: CachedWeights::default(),
         };
         self.register(registration, now);
     }
--- a/crates/services/src/placement/store.rs
+++ b/crates/services/src/placement/store.rs
@@ -4,7 +4,7 @@
 //! under the learned concurrency limit. An instance that evicts for such a load reserves both
 //! first, so that no memory is empty while the load is queued.
 
-use crate::ceiling::LoadCeiling;
+use crate::load_rate_limiter::LoadRateLimiter;
 use crate::store_limit::StoreLimit;
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
 /// Limits of one weight store; see the module.
 #[derive(Debug)]
 pub(super) struct WeightStore {
-    rate_limit: LoadCeiling,
+    rate_limit: LoadRateLimiter,
     concurrency_limit: StoreLimit,
     /// Instances that evict for a load from the store.
     reserved: BTreeSet<RunnerId>,
@@ -21,7 +21,7 @@
 impl WeightStore {
     pub(super) fn new(rate: f64, window: Millis, now: Timestamp) -> Self {
         Self {
-            rate_limit: LoadCeiling::new(rate, window, now),
+            rate_limit: LoadRateLimiter::new(rate, window, now),
             concurrency_limit: StoreLimit::new(now),
             reserved: BTreeSet::new(),
         }
--- a/crates/services/tests/digest.rs
+++ b/crates/services/tests/digest.rs
@@ -1,6 +1,7 @@
-//! A router that comes back is sent what it lacks, and no more.
+//! Digests show exactly the buckets in which a reconnecting router differs; intervals between
+//! messages grow with the fleet.
 
-use courseshunt_services::digest::{BUCKETS, bucket_of};
+use courseshunt_services::digest::{BUCKET_COUNT, bucket_of};
 use courseshunt_services::feed::{instances_interval, usage_interval, usage_lag};
 use courseshunt_services::{InstanceDigests, InstanceState, InstanceView, ResidentModel};
 use courseshunt_types::{Millis, ModelName, RunnerId, Zone};
@@ -28,11 +29,11 @@
 
 fn differing(left: &[InstanceView], right: &[InstanceView]) -> Vec<usize> {
     let (left, right) = (InstanceDigests::of(left), InstanceDigests::of(right));
-    left.differing(&right).collect()
+    left.differing_buckets(&right).collect()
 }
 
 #[test]
-fn equal_fleets_do_not_differ_in_whatever_order_and_with_later_loads() {
+fn order_and_remaining_load_time_do_not_change_the_digests() {
     let mut other = fleet();
     other.reverse();
     for one in &mut other {
@@ -42,14 +43,14 @@
 }
 
 #[test]
-fn each_change_of_an_instance_shows_in_its_part_alone() {
+fn each_change_of_an_instance_shows_only_in_its_bucket() {
     type Change = fn(&mut InstanceView);
     let changes: [Change; 9] = [
         |one| one.service.push('x'),
         |one| one.address.push('1'),
         |one| one.zone = Zone::from("y"),
         |one| one.slots = 63,
-        |one| one.state = InstanceState::Leaving,
+        |one| one.state = InstanceState::Draining,
         |one| one.models[0].version = 2,
         |one| one.models[0].adapters.clear(),
         |one| one.models.clear(),
@@ -58,30 +59,30 @@
     for (number, change) in changes.iter().enumerate() {
         let mut other = fleet();
         change(&mut other[1_234]);
-        let part = bucket_of(&other[1_234].id);
-        assert_eq!(differing(&fleet(), &other), [part], "change {number}");
+        let bucket = bucket_of(&other[1_234].id);
+        assert_eq!(differing(&fleet(), &other), [bucket], "change {number}");
     }
 }
 
 #[test]
-fn instances_that_one_side_lacks_show() {
+fn missing_instances_show_in_their_buckets() {
     let mut other = fleet();
     let missing = other.remove(77);
     assert_eq!(differing(&fleet(), &other), [bucket_of(&missing.id)]);
-    assert_eq!(differing(&fleet(), &[]).len(), BUCKETS);
+    assert_eq!(differing(&fleet(), &[]).len(), BUCKET_COUNT);
 }
 
 #[test]
-fn the_leaders_messages_grow_no_faster_than_the_routers() {
+fn interval_of_changed_instances_grows_with_the_routers_up_to_a_bound() {
     assert_eq!(instances_interval(7), Millis(3));
     assert_eq!(instances_interval(292), Millis(146));
     assert_eq!(instances_interval(100_000), Millis(250));
 }
 
-/// The use of instances is told soon where that is cheap, and rarely where long
-/// sums go to many routers: what the leader writes in a second stays bounded.
+/// Usage is sent often to few routers, and rarely where long sums go to many routers. With one
+/// interval for all sizes, what the leader writes per second would be unbounded.
 #[test]
-fn sums_of_use_are_rarer_where_they_are_long_and_go_to_many() {
+fn usage_interval_grows_with_routers_and_instances() {
     let cases = [
         ((7, 22), 120),
         ((16, 3_000), 120),
@@ -91,9 +92,9 @@
         ((340, 830), 480),
     ];
     for ((routers, instances), interval) in cases {
-        let told = usage_interval(routers, instances);
+        let actual = usage_interval(routers, instances);
         assert_eq!(
-            told,
+            actual,
             Millis(interval),
             "{routers} routers, {instances} instances"
         );
