--- a/crates/coordinator/src/interface.rs
+++ b/crates/coordinator/src/interface.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use courseshunt_services::{
-    ConfigurationError, InstanceReport, NamedLimit, Order, OrderOutcome, Registration,
+    ConfigurationError, InstanceReport, Order, OrderOutcome, Registration, ReportedLimit,
     ServiceConfiguration,
 };
 use courseshunt_types::RunnerId;
@@ -79,7 +79,7 @@
     fn says_leaving(&self, headers: &HeaderMap) -> bool;
 
     /// The limit that the headers of an instance's answer name.
-    fn named_limit(&self, headers: &HeaderMap) -> NamedLimit;
+    fn named_limit(&self, headers: &HeaderMap) -> ReportedLimit;
 
     /// The call that asks an instance how it stands.
     fn report_call(&self, instance: &RunnerId) -> InstanceCall;
--- a/crates/coordinator/src/lead.rs
+++ b/crates/coordinator/src/lead.rs
@@ -215,7 +215,7 @@
     }
     leadership.taken_over = true;
     let recorded = shared.replica.state().services.quarantined.clone();
-    shared.quarantine().seed(&recorded, now);
+    shared.quarantine().restore(&recorded, now);
     inheritance::seed_instances(shared, now).await;
     let term = leadership.term.0;
     let settled = false;
@@ -409,7 +409,7 @@
 
 /// Tells how the accounts of tenants stand: at once where that changed.
 fn feed_quotas(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
-    let turned = shared.quotas().take_turned();
+    let turned = shared.quotas().take_status_changed();
     if !turned && now.since(leadership.quotas_at) < ACCOUNTS_INTERVAL {
         return;
     }
@@ -422,11 +422,11 @@
 /// Tells which limits instances name: soon where that changed.
 fn feed_limits(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
     let since = now.since(leadership.limits_at);
-    let has_news = shared.limits().has_news() && since >= LIMITS_PAUSE;
+    let has_news = shared.limits().has_changes() && since >= LIMITS_PAUSE;
     if !has_news && since < ACCOUNTS_INTERVAL {
         return;
     }
-    shared.limits().take_news();
+    shared.limits().take_changes();
     leadership.limits_at = now;
     if let Some(message) = limits::told(shared, now) {
         shared.sessions.broadcast(message);
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -147,7 +147,7 @@
         let mut quotas = self.quotas();
         quotas.has_accounts().then(|| FeedMessage::Quotas {
             epoch: quotas.epoch(),
-            standings: quotas.standings(now),
+            standings: quotas.account_statuses(now),
         })
     }
 
--- a/crates/coordinator/src/limits.rs
+++ b/crates/coordinator/src/limits.rs
@@ -5,15 +5,15 @@
 use crate::reports::in_contact;
 use courseshunt_records::emit;
 use courseshunt_services::{
-    FeedMessage, LimitAnswer, LimitAsk, LimitVerdict, LimitWord, RequestRate,
+    FeedMessage, LimitAnswer, LimitQuery, LimitReport, LimitVerdict, RequestRate,
 };
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 
 /// Takes what a router tells; returns the answers to its questions, if it has any.
 pub(crate) fn take(
     router: &str,
-    words: &[LimitWord],
-    asks: &[LimitAsk],
+    words: &[LimitReport],
+    asks: &[LimitQuery],
     shared: &Shared,
 ) -> Option<FeedMessage> {
     let now = shared.clock.now();
@@ -27,7 +27,7 @@
             .map(|ask| answer(ask, LimitVerdict::Unknown))
             .collect(),
     };
-    if shared.limits().has_news() {
+    if shared.limits().has_changes() {
         shared.wake.notify_one();
     }
     (!answers.is_empty()).then_some(FeedMessage::LimitAnswers(answers))
@@ -35,18 +35,18 @@
 
 /// Takes note of a limit that an answer to this leader itself names.
 pub(crate) fn heard(instance: &RunnerId, rate: RequestRate, shared: &Shared) {
-    let word = LimitWord {
+    let word = LimitReport {
         instance: instance.clone(),
         rate: Some(rate),
         age: Millis(0),
     };
     note(&shared.settings.name, &word, shared.clock.now(), shared);
-    if shared.limits().has_news() {
+    if shared.limits().has_changes() {
         shared.wake.notify_one();
     }
 }
 
-fn note(router: &str, word: &LimitWord, now: Timestamp, shared: &Shared) {
+fn note(router: &str, word: &LimitReport, now: Timestamp, shared: &Shared) {
     if shared.limits().note(word, now) {
         emit(&ControllerRecord::InstanceLimits {
             instance: word.instance.as_str(),
@@ -57,17 +57,17 @@
     }
 }
 
-fn grant(router: &str, asks: &[LimitAsk], now: Timestamp, shared: &Shared) -> Vec<LimitAnswer> {
+fn grant(router: &str, asks: &[LimitQuery], now: Timestamp, shared: &Shared) -> Vec<LimitAnswer> {
     let granted = asks.iter().map(|ask| {
-        note(router, &ask.word, now, shared);
-        let verdict = shared.limits().ask(ask, now);
+        note(router, &ask.report, now, shared);
+        let verdict = shared.limits().decide(ask, now);
         shared.metrics.limit_verdict(verdict);
         answer(ask, verdict)
     });
     granted.collect()
 }
 
-fn answer(ask: &LimitAsk, verdict: LimitVerdict) -> LimitAnswer {
+fn answer(ask: &LimitQuery, verdict: LimitVerdict) -> LimitAnswer {
     LimitAnswer {
         number: ask.number,
         verdict,
@@ -81,6 +81,6 @@
     let mut limits = shared.limits();
     limits.retain(|instance| engine.knows(instance), now);
     engine.set_limits(limits.rates());
-    let words = limits.words(now);
+    let words = limits.reports(now);
     (!words.is_empty()).then_some(FeedMessage::Limits(words))
 }
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -10,7 +10,7 @@
 };
 use courseshunt_records::emit;
 use courseshunt_services::{
-    InstanceReport, NamedLimit, Order, OrderAction, OrderOutcome, PlacementStep,
+    InstanceReport, Order, OrderAction, OrderOutcome, PlacementStep, ReportedLimit,
 };
 use courseshunt_types::{Millis, RunnerId};
 use hyper::header::{CONTENT_TYPE, HOST};
@@ -72,7 +72,7 @@
     }
     // Another instance that answers at the address speaks for itself.
     if reply.status != StatusCode::MISDIRECTED_REQUEST
-        && let NamedLimit::Rate(rate) = shared.interface.named_limit(&reply.headers)
+        && let ReportedLimit::Rate(rate) = shared.interface.named_limit(&reply.headers)
     {
         limits::heard(instance, rate, shared);
     }
--- a/crates/coordinator/src/quarantine.rs
+++ b/crates/coordinator/src/quarantine.rs
@@ -12,7 +12,7 @@
 
 /// What routers are told.
 pub(crate) fn told(shared: &Shared) -> FeedMessage {
-    let (suspected, quarantined) = shared.quarantine().told();
+    let (suspected, quarantined) = shared.quarantine().contents_for_routers();
     FeedMessage::Quarantine {
         suspected,
         quarantined,
@@ -43,7 +43,7 @@
 fn tell(shared: &Shared) {
     let (news, changes) = {
         let mut ledger = shared.quarantine();
-        (ledger.take_news(), ledger.take_changes())
+        (ledger.take_contents_changed(), ledger.take_changes())
     };
     for change in changes {
         emit(&record_of(change));
@@ -55,9 +55,9 @@
 
 fn record_of(change: QuarantineChange) -> ControllerRecord<'static> {
     let (content, change, ends) = match change {
-        QuarantineChange::Begun { content, ends } => (content, "begun", Some(ends)),
+        QuarantineChange::Started { content, ends } => (content, "begun", Some(ends)),
         QuarantineChange::Cleared { content } => (content, "cleared", None),
-        QuarantineChange::Tried { content } => (content, "tried", None),
+        QuarantineChange::Retrying { content } => (content, "tried", None),
     };
     ControllerRecord::Quarantine {
         content: content.short(),
--- a/crates/coordinator/src/reports.rs
+++ b/crates/coordinator/src/reports.rs
@@ -9,7 +9,7 @@
 use crate::router_book::Way;
 use courseshunt_records::emit;
 use courseshunt_services::{
-    FeedMessage, InstanceUsage, ModelDemand, QuotaAnswer, QuotaAsk, QuotaVerdict, RelayedReport,
+    FeedMessage, InstanceUsage, ModelDemand, QuotaAnswer, QuotaQuery, QuotaVerdict, RelayedReport,
     ReportMessage, RouterNews,
 };
 use courseshunt_types::RunnerId;
@@ -38,7 +38,7 @@
             shared
                 .routers()
                 .follows(&router, session, way, configuration);
-            shared.quotas().router_heard(&router);
+            shared.quotas().router_contacted(&router);
             None
         }
         RouterNews::Lost => {
@@ -141,14 +141,14 @@
 }
 
 /// Answers a router's questions on tenants' limits.
-fn answer_quotas(router: &str, questions: &[QuotaAsk], shared: &Shared) -> FeedMessage {
+fn answer_quotas(router: &str, questions: &[QuotaQuery], shared: &Shared) -> FeedMessage {
     let now = shared.clock.now();
     let in_contact = in_contact(shared);
     let mut quotas = shared.quotas();
     let answers = questions.iter().map(|one| QuotaAnswer {
         number: one.number,
         verdict: match in_contact {
-            true => quotas.ask(router, one, now),
+            true => quotas.decide(router, one, now),
             false => QuotaVerdict::Unknown,
         },
     });
--- a/crates/coordinator/src/sessions/earlier.rs
+++ b/crates/coordinator/src/sessions/earlier.rs
@@ -6,7 +6,7 @@
 
 use super::{Sessions, encode, instances};
 use courseshunt_services::fed_instances::InstanceChanges;
-use courseshunt_services::{FeedMessage, LimitWord};
+use courseshunt_services::{FeedMessage, LimitReport};
 use courseshunt_types::RunnerId;
 use courseshunt_wire::Frame;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 
 impl Sessions {
     /// Follows which instances name a limit.
-    pub(super) fn follow_limits(&self, words: &[LimitWord]) {
+    pub(super) fn follow_limits(&self, words: &[LimitReport]) {
         let limited = words.iter().filter(|word| word.rate.is_some());
         self.keep_back(limited.map(|word| word.instance.clone()).collect());
     }
--- a/crates/gateway/src/answer_words.rs
+++ b/crates/gateway/src/answer_words.rs
@@ -8,7 +8,7 @@
 use crate::records::RouterRecord;
 use courseshunt_http::{RetryAfter, read_asked_rest};
 use courseshunt_records::emit;
-use courseshunt_services::{LimitNews, NamedLimit, RequestRate};
+use courseshunt_services::{LimitChange, ReportedLimit, RequestRate};
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use hyper::header::{self, HeaderMap, HeaderName, RETRY_AFTER};
 use hyper::http::response::Parts;
@@ -119,15 +119,15 @@
         asked_at,
     } = answering;
     let rate = match facts.limit {
-        NamedLimit::Unreadable => return tell_unknown(shared, answering, &NAMED_LIMIT),
-        NamedLimit::None if !facts.genuine || facts.misdirected || facts.not_run => return,
-        NamedLimit::None => None,
-        NamedLimit::Rate(rate) => Some(rate),
+        ReportedLimit::Unreadable => return tell_unknown(shared, answering, &NAMED_LIMIT),
+        ReportedLimit::None if !facts.genuine || facts.misdirected || facts.not_run => return,
+        ReportedLimit::None => None,
+        ReportedLimit::Rate(rate) => Some(rate),
     };
     let news = match shared.view.heard_limit(instance, rate, asked_at) {
-        LimitNews::None => return,
-        LimitNews::Named(rate) => Some(rate),
-        LimitNews::Lifted => None,
+        LimitChange::None => return,
+        LimitChange::Reported(rate) => Some(rate),
+        LimitChange::Removed => None,
     };
     shared.limits.has_news.notify_one();
     shared.metrics.pushback(if news.is_some() {
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -4,7 +4,7 @@
 use crate::records::RouterRecord;
 use crate::search::{FeedEnd, Search, next_look};
 use courseshunt_records::emit;
-use courseshunt_services::{FeedMessage, LimitWord, ReportMessage, RouteTable, judge};
+use courseshunt_services::{FeedMessage, LimitReport, ReportMessage, RouteTable, judge};
 use courseshunt_types::{Incarnation, RouterId, RunnerId};
 use courseshunt_wire::{
     ClusterKey, Connection, EARLIER_VERSION, Message, PeerIdentity, Receiver, Sender, WireError,
@@ -247,7 +247,7 @@
 }
 
 /// Takes over what the leader tells of limits that instances name.
-fn take_limits(words: &[LimitWord], shared: &Shared) {
+fn take_limits(words: &[LimitReport], shared: &Shared) {
     for word in shared.view.told_limits(words) {
         emit(&RouterRecord::LimitTold {
             instance: word.instance.as_str(),
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -118,12 +118,12 @@
             .view
             .asked_for(&candidate.instance, shared.clock.now());
         let rest_left_ms = match pushback {
-            Some(Pushback::Rest(left)) => Some(left.0),
-            Some(Pushback::Returns | Pushback::Limited(_) | Pushback::Leaving) | None => None,
+            Some(Pushback::Backoff(left)) => Some(left.0),
+            Some(Pushback::Recovering | Pushback::Limited(_) | Pushback::Leaving) | None => None,
         };
         let limit = shared.view.limit_of(&candidate.instance);
         if let Some(pushback) = pushback {
-            metrics.sent_against(pushback.word());
+            metrics.sent_against(pushback.label());
         }
         emit(&RequestRecord::Sent {
             id: &admitted.facts.id,
--- a/crates/gateway/src/interface.rs
+++ b/crates/gateway/src/interface.rs
@@ -1,7 +1,7 @@
 //! What a router needs of the interfaces of clients and instances.
 
 use courseshunt_services::{
-    ConfigurationError, NamedLimit, PromptShape, Route, ServiceConfiguration,
+    ConfigurationError, PromptShape, ReportedLimit, Route, ServiceConfiguration,
 };
 use courseshunt_types::{Digest, Millis, RunnerId};
 use hyper::StatusCode;
@@ -59,7 +59,7 @@
     /// The instance says that it leaves: it wants no further requests.
     pub leaving: bool,
     /// The requests a second that the instance takes.
-    pub limit: NamedLimit,
+    pub limit: ReportedLimit,
 }
 
 /// Who answers at an instance's address.
--- a/crates/gateway/src/limit_desk.rs
+++ b/crates/gateway/src/limit_desk.rs
@@ -9,7 +9,7 @@
 use crate::quota_desk::ANSWER_LIMIT;
 use crate::records::RequestRecord;
 use courseshunt_records::emit;
-use courseshunt_services::{LimitAnswer, LimitAsk, LimitStep, LimitVerdict, LimitWord};
+use courseshunt_services::{LimitAnswer, LimitQuery, LimitReport, LimitStep, LimitVerdict};
 use courseshunt_types::{Millis, RunnerId};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 struct State {
     /// Whether a leader is connected.
     connected: bool,
-    questions: Questions<LimitAsk, LimitVerdict>,
+    questions: Questions<LimitQuery, LimitVerdict>,
 }
 
 /// See the module.
@@ -49,7 +49,7 @@
     }
 
     /// Questions to send now.
-    pub(crate) fn take_questions(&self) -> Vec<LimitAsk> {
+    pub(crate) fn take_questions(&self) -> Vec<LimitQuery> {
         self.lock().questions.take_unsent()
     }
 
@@ -66,11 +66,11 @@
         self.lock().connected
     }
 
-    fn ask(&self, word: LimitWord, patience: Millis) -> oneshot::Receiver<LimitVerdict> {
-        let (_, answer) = self.lock().questions.ask(|number| LimitAsk {
+    fn ask(&self, word: LimitReport, patience: Millis) -> oneshot::Receiver<LimitVerdict> {
+        let (_, answer) = self.lock().questions.ask(|number| LimitQuery {
             number,
-            word,
-            patience,
+            report: word,
+            max_wait: patience,
         });
         self.has_news.notify_one();
         answer
@@ -103,9 +103,9 @@
     /// None where the instance names no limit.
     fn of(step: &LimitStep) -> Option<Self> {
         let (outcome, is_granted, after) = match step {
-            LimitStep::Free | LimitStep::Ask(_) => return None,
+            LimitStep::Unlimited | LimitStep::Query(_) => return None,
             LimitStep::Granted { after } => ("granted", true, *after),
-            LimitStep::Alone { after } => ("own_part", true, *after),
+            LimitStep::LocalShare { after } => ("own_part", true, *after),
             LimitStep::Refuse { fits_after } => ("refused", false, *fits_after),
         };
         Some(Self {
@@ -126,7 +126,7 @@
 ) -> bool {
     let led = shared.limits.is_connected() && shared.is_led();
     let step = match shared.view.limit_step(instance, patience, led) {
-        LimitStep::Ask(word) => ask(shared, instance, word, patience).await,
+        LimitStep::Query(word) => ask(shared, instance, word, patience).await,
         step => step,
     };
     let Some(decision) = Decision::of(&step) else {
@@ -146,7 +146,12 @@
 }
 
 /// Asks the leader; without an answer in time this router's own part decides.
-async fn ask(shared: &Shared, instance: &RunnerId, word: LimitWord, patience: Millis) -> LimitStep {
+async fn ask(
+    shared: &Shared,
+    instance: &RunnerId,
+    word: LimitReport,
+    patience: Millis,
+) -> LimitStep {
     let mut asking = Asking {
         shared,
         instance,
--- a/crates/gateway/src/quarantine_desk.rs
+++ b/crates/gateway/src/quarantine_desk.rs
@@ -81,7 +81,8 @@
     /// Whether requests of this content are sent nowhere. `silent_for` is the time since
     /// a leader was heard.
     pub(crate) fn holds(&self, content: &Digest, silent_for: Duration) -> bool {
-        self.state().holds(content, silent_for <= LONGEST_SILENCE)
+        self.state()
+            .is_quarantined(content, silent_for <= LONGEST_SILENCE)
     }
 
     /// Contents in quarantine.
@@ -108,13 +109,13 @@
 
     /// A new leader is followed: it is told what is remembered.
     pub(crate) fn begin_leader(&self) {
-        self.state().begin_leader();
+        self.state().mark_all_unreported();
         self.has_news.notify_one();
     }
 
     /// What the leader has not been told.
     pub(crate) fn take_unsent(&self) -> (Vec<InstanceEnd>, Vec<Digest>) {
-        self.state().take_unsent(self.now())
+        self.state().take_unreported(self.now())
     }
 
     /// Instances are gone, as the leader says.
--- a/crates/gateway/src/quota_desk.rs
+++ b/crates/gateway/src/quota_desk.rs
@@ -6,8 +6,8 @@
 
 use crate::questions::{Answered, Questions};
 use courseshunt_services::{
-    LimitedRequest, QuotaAnswer, QuotaAsk, QuotaSettings, QuotaStep, QuotaVerdict, RouterQuotas,
-    Tenant, TenantStanding, TenantUse,
+    LimitedRequest, QuotaAnswer, QuotaQuery, QuotaSettings, QuotaStep, QuotaVerdict, RouterQuotas,
+    Tenant, TenantAccountStatus, TenantUse,
 };
 use courseshunt_settings::service::ServiceLimits;
 use courseshunt_types::{Millis, Timestamp};
@@ -24,7 +24,7 @@
 #[derive(Clone)]
 struct TenantQuestion {
     tenant: Arc<Tenant>,
-    ask: QuotaAsk,
+    ask: QuotaQuery,
 }
 
 struct State {
@@ -72,10 +72,15 @@
     }
 
     /// Takes the leader's word on the accounts over.
-    pub(crate) fn set_standings(&self, epoch: u64, standings: Vec<TenantStanding>, now: Timestamp) {
+    pub(crate) fn set_standings(
+        &self,
+        epoch: u64,
+        standings: Vec<TenantAccountStatus>,
+        now: Timestamp,
+    ) {
         let mut state = self.lock();
         state.connected = true;
-        state.quotas.set_standings(epoch, standings, now);
+        state.quotas.set_account_statuses(epoch, standings, now);
     }
 
     /// Notes that the leader is lost: whoever waits for its answer decides alone.
@@ -86,7 +91,7 @@
     }
 
     /// Questions to send now.
-    pub(crate) fn take_questions(&self) -> Vec<QuotaAsk> {
+    pub(crate) fn take_questions(&self) -> Vec<QuotaQuery> {
         let questions = self.lock().questions.take_unsent();
         questions.into_iter().map(|one| one.ask).collect()
     }
@@ -124,7 +129,7 @@
             match state.quotas.decide(request, led, rand::random(), now) {
                 QuotaStep::Admit => return Ok(()),
                 QuotaStep::Refuse { fits_after } => return Err(fits_after),
-                QuotaStep::Ask => state.ask(tenant, request),
+                QuotaStep::Query => state.ask(tenant, request),
             }
         };
         self.has_questions.notify_one();
@@ -146,16 +151,19 @@
     ) -> Result<(), Millis> {
         let mut state = self.lock();
         state.questions.give_up(number);
-        match state.quotas.decide_alone(request, rand::random(), now) {
+        match state
+            .quotas
+            .decide_without_leader(request, rand::random(), now)
+        {
             QuotaStep::Refuse { fits_after } => Err(fits_after),
-            QuotaStep::Admit | QuotaStep::Ask => Ok(()),
+            QuotaStep::Admit | QuotaStep::Query => Ok(()),
         }
     }
 
     /// Gives back what a request did not use.
     fn give_back(&self, tenant: &str, units: u32, counted_at: Timestamp, now: Timestamp) {
         let mut state = self.lock();
-        state.quotas.give_back(tenant, units, counted_at, now);
+        state.quotas.refund(tenant, units, counted_at, now);
     }
 }
 
@@ -167,7 +175,7 @@
     ) -> (u64, oneshot::Receiver<QuotaVerdict>) {
         self.questions.ask(|number| TenantQuestion {
             tenant: tenant.clone(),
-            ask: QuotaAsk {
+            ask: QuotaQuery {
                 number,
                 tenant: tenant.name.clone(),
                 units: request.units,
@@ -196,7 +204,7 @@
                 };
                 self.quotas.granted(&request, now);
                 if !taken {
-                    self.quotas.give_back(&ask.tenant, ask.units, now, now);
+                    self.quotas.refund(&ask.tenant, ask.units, now, now);
                 }
             }
             (QuotaVerdict::Refused { fits_after }, _) => {
--- a/crates/gateway/src/view/mod.rs
+++ b/crates/gateway/src/view/mod.rs
@@ -5,8 +5,8 @@
 use courseshunt_services::fed_instances::InstanceChanges;
 use courseshunt_services::feed::{InstanceUsage, usage_interval, usage_lag};
 use courseshunt_services::{
-    Candidate, FedInstances, InstanceDigests, InstanceView, LimitNews, LimitStep, LimitVerdict,
-    LimitWord, PromptShape, Pushback, ReportMessage, RequestRate, RetryBudget, RouteTable,
+    Candidate, FedInstances, InstanceDigests, InstanceView, LimitChange, LimitReport, LimitStep,
+    LimitVerdict, PromptShape, Pushback, ReportMessage, RequestRate, RetryBudget, RouteTable,
     Selector, Service,
 };
 use courseshunt_settings::service::ServiceSettings;
@@ -252,7 +252,7 @@
     ) -> Option<(Candidate, InstanceView)> {
         self.choose_by(service, shape, now, |selector, instances, own_limit| {
             let views = instances.holders(&service.name, &shape.model);
-            selector.choose_turn(shape, views, own_limit, now)
+            selector.choose_with_wait(shape, views, own_limit, now)
         })
     }
 
@@ -310,7 +310,7 @@
     /// for there.
     pub(crate) fn turned_away(&self, candidate: &Candidate, service: &str, shape: &PromptShape) {
         let mut state = self.lock();
-        state.selector.turned_away(candidate);
+        state.selector.rejected(candidate);
         let tokens = candidate.uncached_tokens;
         state.demand.turned_away(service, shape, tokens);
     }
@@ -325,12 +325,12 @@
 
     /// Notes that an instance does not have what a request asks for, or is another one.
     pub(crate) fn lacks(&self, instance: &RunnerId, shape: &PromptShape, now: Timestamp) {
-        self.lock().selector.lacks(instance, shape, now);
+        self.lock().selector.note_missing(instance, shape, now);
     }
 
     /// Notes that an instance asked for rest.
     pub(crate) fn asked_rest(&self, instance: &RunnerId, rest: Millis, now: Timestamp) {
-        self.lock().selector.asked_rest(instance, rest, now);
+        self.lock().selector.start_backoff(instance, rest, now);
     }
 
     /// Notes which limit an answer names to a request that was sent at `asked_at`; none: it
@@ -340,21 +340,21 @@
         instance: &RunnerId,
         rate: Option<RequestRate>,
         asked_at: Timestamp,
-    ) -> LimitNews {
+    ) -> LimitChange {
         let now = self.clock.now();
         let mut state = self.lock();
-        let news = state.selector.heard_limit(instance, rate, asked_at, now);
+        let news = state.selector.observe_limit(instance, rate, asked_at, now);
         drop(state);
-        if news == LimitNews::Lifted {
+        if news == LimitChange::Removed {
             self.changed();
         }
         news
     }
 
     /// Takes over what the leader tells of limits; returns what is news.
-    pub(crate) fn told_limits(&self, words: &[LimitWord]) -> Vec<LimitWord> {
+    pub(crate) fn told_limits(&self, words: &[LimitReport]) -> Vec<LimitReport> {
         let now = self.clock.now();
-        let news = self.lock().selector.told_limits(words, now);
+        let news = self.lock().selector.apply_leader_limits(words, now);
         if news.iter().any(|word| word.rate.is_none()) {
             self.changed();
         }
@@ -362,9 +362,9 @@
     }
 
     /// What the leader has to be told of limits.
-    pub(crate) fn take_untold_limits(&self) -> Vec<LimitWord> {
+    pub(crate) fn take_untold_limits(&self) -> Vec<LimitReport> {
         let now = self.clock.now();
-        self.lock().selector.take_untold_limits(now)
+        self.lock().selector.take_unreported_limits(now)
     }
 
     /// What to do with a request for an instance, by its limit: see [`Selector::limit_step`].
@@ -377,7 +377,9 @@
     /// Notes the end of a question on an instance's limit, with the answer if it came.
     pub(crate) fn asked_limit(&self, instance: &RunnerId, verdict: Option<LimitVerdict>) {
         let now = self.clock.now();
-        self.lock().selector.asked_limit(instance, verdict, now);
+        self.lock()
+            .selector
+            .finish_limit_query(instance, verdict, now);
         self.changed();
     }
 
@@ -388,12 +390,12 @@
 
     /// Notes that an instance says that it leaves; returns whether that is news.
     pub(crate) fn leaves(&self, instance: &RunnerId, now: Timestamp) -> bool {
-        self.lock().selector.leaves(instance, now)
+        self.lock().selector.note_leaving(instance, now)
     }
 
     /// What an instance asked for that holds now: to rest, or that it leaves.
     pub(crate) fn asked_for(&self, instance: &RunnerId, now: Timestamp) -> Option<Pushback> {
-        self.lock().selector.asked_for(instance, now)
+        self.lock().selector.active_pushback(instance, now)
     }
 
     /// Whether an instance is known.
@@ -456,7 +458,7 @@
     pub(crate) fn begin_leader(&self) {
         let mut state = self.lock();
         state.reported = None;
-        state.selector.tell_limits_anew();
+        state.selector.mark_limits_unreported();
         drop(state);
         self.news.notify_one();
     }
--- a/crates/gateway/src/view/state.rs
+++ b/crates/gateway/src/view/state.rs
@@ -123,14 +123,14 @@
         for view in views {
             let free = match self.selector.pushback(view, now) {
                 None => Expected::at_once(),
-                Some(Pushback::Rest(left)) => Expected::pushed_back(left.into()),
-                Some(Pushback::Returns) => Expected::pushed_back(RETURN_TIME),
+                Some(Pushback::Backoff(left)) => Expected::pushed_back(left.into()),
+                Some(Pushback::Recovering) => Expected::pushed_back(RETURN_TIME),
                 Some(Pushback::Limited(left)) => Expected::in_turn(left.into()),
                 Some(Pushback::Leaving) => continue,
             };
             let at = if view.holds(&shape.model, None) {
                 // It may be another instance by now: then its word is tried again later.
-                let lacking = self.selector.lacks_for(&view.id, shape, now);
+                let lacking = self.selector.missing_for(&view.id, shape, now);
                 let lacking = lacking.map(|left| Instant::now() + Duration::from(left));
                 Some(lacking.map_or(free.at, |until| until.max(free.at)) + ADAPTER_TIME)
             } else if service.engine.is_some() {
@@ -160,7 +160,7 @@
     pub(super) fn follow(&mut self, changes: &InstanceChanges) {
         let now = Instant::now();
         for view in &changes.changed {
-            self.selector.told_anew(&view.id);
+            self.selector.models_updated(&view.id);
             let loading = view.loading.iter();
             let due = loading.map(|(model, left)| (model.0.clone(), now + Duration::from(*left)));
             let due: Vec<(String, Instant)> = due.collect();
--- a/crates/services/src/feed.rs
+++ b/crates/services/src/feed.rs
@@ -9,9 +9,9 @@
 
 use crate::digest::InstanceDigests;
 use crate::instance::InstanceView;
-use crate::limit::{LimitAnswer, LimitAsk, LimitWord};
+use crate::limit::{LimitAnswer, LimitQuery, LimitReport};
 use crate::quarantine::InstanceEnd;
-use crate::quota::{QuotaAnswer, QuotaAsk, TenantStanding, TenantUse};
+use crate::quota::{QuotaAnswer, QuotaQuery, TenantAccountStatus, TenantUse};
 use courseshunt_types::{Digest, Millis, RunnerId, Zone};
 
 /// Time between messages about the use of instances, either way.
@@ -168,12 +168,12 @@
         /// The leadership that keeps these accounts.
         epoch: u64,
         /// Accounts that were used lately.
-        standings: Vec<TenantStanding>,
+        standings: Vec<TenantAccountStatus>,
     },
     /// Answers to a router's questions.
     QuotaAnswers(Vec<QuotaAnswer>),
     /// Limits that instances name, and those that ended lately; what is left out is as it was.
-    Limits(Vec<LimitWord>),
+    Limits(Vec<LimitReport>),
     /// Answers to a router's questions on such limits.
     LimitAnswers(Vec<LimitAnswer>),
     /// Contents under which instances have ended; whole, in place of the last word.
@@ -241,13 +241,13 @@
         uses: Vec<TenantUse>,
     },
     /// Whether requests are within their tenants' limits.
-    AskQuotas(Vec<QuotaAsk>),
+    AskQuotas(Vec<QuotaQuery>),
     /// What instances said of their limits, and whether requests are within them.
     Limits {
         /// What the leader was not told yet.
-        words: Vec<LimitWord>,
+        words: Vec<LimitReport>,
         /// Questions.
-        asks: Vec<LimitAsk>,
+        asks: Vec<LimitQuery>,
     },
     /// Asks for the parts in which the router's instances differ.
     Compare(InstanceDigests),
--- a/crates/services/src/lib.rs
+++ b/crates/services/src/lib.rs
@@ -48,8 +48,8 @@
 pub use instance::{InstanceState, InstanceView, Registration, ResidentModel, WeightCopies};
 pub use judge::{ConfigurationError, judge};
 pub use limit::ledger::LimitLedger;
-pub use limit::local::{LimitNews, LimitStep, RouterLimits};
-pub use limit::{LimitAnswer, LimitAsk, LimitVerdict, LimitWord, NamedLimit, RequestRate};
+pub use limit::local::{LimitChange, LimitStep, RouterLimits};
+pub use limit::{LimitAnswer, LimitQuery, LimitReport, LimitVerdict, ReportedLimit, RequestRate};
 pub use placement::{
     InstanceReport, LoadEnd, LoadSource, Order, OrderAction, OrderEvidence, OrderOutcome,
     PlacementEngine, PlacementEvent, PlacementSettings, PlacementStep, SetAside,
@@ -60,7 +60,8 @@
 pub use quota::ledger::QuotaLedger;
 pub use quota::local::{QuotaStep, RouterQuotas};
 pub use quota::{
-    LimitedRequest, QuotaAnswer, QuotaAsk, QuotaSettings, QuotaVerdict, TenantStanding, TenantUse,
+    LimitedRequest, QuotaAnswer, QuotaQuery, QuotaSettings, QuotaVerdict, TenantAccountStatus,
+    TenantUse,
 };
 pub use relay::{RegistrationOutbox, RelayedRegistration};
 pub use routes::RouteTable;
--- a/crates/services/src/limit/ledger.rs
+++ b/crates/services/src/limit/ledger.rs
@@ -3,7 +3,7 @@
 //! Invariant: the newest word on an instance holds, whoever heard it; a grant is counted
 //! before it is told.
 
-use super::{LIFTED_KEPT, LimitAsk, LimitVerdict, LimitWord, RequestRate};
+use super::{LIFTED_KEPT, LimitQuery, LimitReport, LimitVerdict, RequestRate};
 use crate::token_bucket::TokenBucket;
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
 impl LimitLedger {
     /// Takes a word over that a router heard, unless a newer one is known; returns whether
     /// it changes anything.
-    pub fn note(&mut self, word: &LimitWord, now: Timestamp) -> bool {
+    pub fn note(&mut self, word: &LimitReport, now: Timestamp) -> bool {
         let named_at = now - word.age;
         let Some(account) = self.accounts.get_mut(&word.instance) else {
             self.open(word, named_at, now);
@@ -54,7 +54,7 @@
         true
     }
 
-    fn open(&mut self, word: &LimitWord, named_at: Timestamp, now: Timestamp) {
+    fn open(&mut self, word: &LimitReport, named_at: Timestamp, now: Timestamp) {
         let rate = word.rate.unwrap_or(RequestRate(0));
         let account = Account {
             rate: word.rate,
@@ -66,16 +66,16 @@
     }
 
     /// Decides on one request of a router.
-    pub fn ask(&mut self, ask: &LimitAsk, now: Timestamp) -> LimitVerdict {
-        self.note(&ask.word, now);
-        let Some(account) = self.accounts.get_mut(&ask.word.instance) else {
+    pub fn decide(&mut self, ask: &LimitQuery, now: Timestamp) -> LimitVerdict {
+        self.note(&ask.report, now);
+        let Some(account) = self.accounts.get_mut(&ask.report.instance) else {
             return LimitVerdict::Unknown;
         };
         if account.rate.is_none() {
             return LimitVerdict::Granted { after: Millis(0) };
         }
         let wait = account.grants.time_until(1.0, now);
-        if wait > ask.patience {
+        if wait > ask.max_wait {
             return LimitVerdict::Refused { fits_after: wait };
         }
         account.grants.charge(1.0, now);
@@ -84,19 +84,19 @@
 
     /// Whether there is a word that was not told yet.
     #[must_use]
-    pub fn has_news(&self) -> bool {
+    pub fn has_changes(&self) -> bool {
         self.has_news
     }
 
     /// Whether a word is new since the last call.
-    pub fn take_news(&mut self) -> bool {
+    pub fn take_changes(&mut self) -> bool {
         std::mem::take(&mut self.has_news)
     }
 
     /// All words that hold, and those that ended a limit a moment ago.
     #[must_use]
-    pub fn words(&self, now: Timestamp) -> Vec<LimitWord> {
-        let words = self.accounts.iter().map(|(instance, account)| LimitWord {
+    pub fn reports(&self, now: Timestamp) -> Vec<LimitReport> {
+        let words = self.accounts.iter().map(|(instance, account)| LimitReport {
             instance: instance.clone(),
             rate: account.rate,
             age: now.since(account.named_at),
--- a/crates/services/src/limit/local.rs
+++ b/crates/services/src/limit/local.rs
@@ -3,7 +3,7 @@
 //! Invariant: an answer ends a limit only if its request was sent after the limit was last
 //! heard, so that an answer that was overtaken ends nothing.
 
-use super::{LEAST_OWN_BURST, LIFTED_KEPT, LimitVerdict, LimitWord, RequestRate, account};
+use super::{LEAST_OWN_BURST, LIFTED_KEPT, LimitReport, LimitVerdict, RequestRate, account};
 use crate::token_bucket::TokenBucket;
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use std::collections::HashMap;
@@ -28,29 +28,29 @@
 
 /// What an answer changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LimitNews {
+pub enum LimitChange {
     /// Nothing.
     None,
     /// The instance names a limit, or another one than before.
-    Named(RequestRate),
+    Reported(RequestRate),
     /// It names none any more.
-    Lifted,
+    Removed,
 }
 
 /// What to do with a request that was chosen for an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LimitStep {
     /// The instance names no limit.
-    Free,
-    /// To ask the leader, telling it this; to be ended with [`RouterLimits::asked`].
-    Ask(LimitWord),
+    Unlimited,
+    /// To ask the leader, telling it this; to be ended with [`RouterLimits::finish_query`].
+    Query(LimitReport),
     /// To send it when its turn comes: the leader has granted it.
     Granted {
         /// Time until its turn.
         after: Millis,
     },
     /// To send it when its turn comes: it is within this router's own part.
-    Alone {
+    LocalShare {
         /// Time until its turn.
         after: Millis,
     },
@@ -203,44 +203,48 @@
 
     /// Takes note of what an answer says, or does not say, to a request that was sent at
     /// `asked_at`.
-    pub fn heard(
+    pub fn observe(
         &mut self,
         instance: &RunnerId,
         rate: Option<RequestRate>,
         asked_at: Timestamp,
         now: Timestamp,
-    ) -> LimitNews {
+    ) -> LimitChange {
         let known = self.words.get_mut(instance);
         match (known, rate) {
-            (None, None) => LimitNews::None,
+            (None, None) => LimitChange::None,
             (None, Some(rate)) => {
                 self.keep(instance, Word::new(Some(rate), now, false), now);
-                LimitNews::Named(rate)
+                LimitChange::Reported(rate)
             }
             (Some(word), Some(rate)) => {
                 word.named_at = now;
                 if word.rate == Some(rate) {
-                    return LimitNews::None;
+                    return LimitChange::None;
                 }
                 word.change(Some(rate));
                 word.told = false;
-                LimitNews::Named(rate)
+                LimitChange::Reported(rate)
             }
             (Some(word), None) => {
                 if word.rate.is_none() || asked_at < word.named_at {
-                    return LimitNews::None;
+                    return LimitChange::None;
                 }
                 word.change(None);
                 word.named_at = now;
                 word.told = false;
-                LimitNews::Lifted
+                LimitChange::Removed
             }
         }
     }
 
     /// Takes over what the leader tells that others heard later than this router; returns
     /// the instances of which that is news.
-    pub fn told(&mut self, words: &[LimitWord], now: Timestamp) -> Vec<LimitWord> {
+    pub fn apply_leader_reports(
+        &mut self,
+        words: &[LimitReport],
+        now: Timestamp,
+    ) -> Vec<LimitReport> {
         let mut news = Vec::new();
         for told in words {
             let named_at = now - told.age;
@@ -263,7 +267,7 @@
     }
 
     /// What the leader has to be told.
-    pub fn take_untold(&mut self, now: Timestamp) -> Vec<LimitWord> {
+    pub fn take_unreported(&mut self, now: Timestamp) -> Vec<LimitReport> {
         let untold = self.words.iter_mut().filter(|(_, word)| !word.told);
         let untold = untold.map(|(instance, word)| {
             word.told = true;
@@ -273,7 +277,7 @@
     }
 
     /// Another leader has to be told all, and may be asked at once.
-    pub fn tell_anew(&mut self) {
+    pub fn mark_all_unreported(&mut self) {
         for word in self.words.values_mut() {
             word.told = false;
             word.waits_until = Timestamp::default();
@@ -289,7 +293,7 @@
     /// When an instance that is not to be tried now is expected to take a request; none: it may
     /// be tried.
     #[must_use]
-    pub fn has_no_room_for(&self, instance: &RunnerId, now: Timestamp) -> Option<Millis> {
+    pub fn blocked_for(&self, instance: &RunnerId, now: Timestamp) -> Option<Millis> {
         let word = self.words.get(instance)?;
         word.rate?;
         if now < word.waits_until {
@@ -300,7 +304,7 @@
 
     /// Whether a request may ask for a turn that comes later.
     #[must_use]
-    pub fn may_ask_for_turn(&self, instance: &RunnerId) -> bool {
+    pub fn may_query(&self, instance: &RunnerId) -> bool {
         let word = self.words.get(instance);
         word.is_none_or(|word| !word.asks_enough())
     }
@@ -315,19 +319,24 @@
         now: Timestamp,
     ) -> LimitStep {
         if !led {
-            return self.step_alone(instance, patience, now);
+            return self.step_without_leader(instance, patience, now);
         }
         match self.words.get_mut(instance) {
             Some(word) if word.rate.is_some() => {
                 word.asking += 1;
-                LimitStep::Ask(word_of(instance, word, now))
+                LimitStep::Query(word_of(instance, word, now))
             }
-            Some(_) | None => LimitStep::Free,
+            Some(_) | None => LimitStep::Unlimited,
         }
     }
 
     /// Notes the end of a question, with the leader's answer if it came.
-    pub fn asked(&mut self, instance: &RunnerId, verdict: Option<LimitVerdict>, now: Timestamp) {
+    pub fn finish_query(
+        &mut self,
+        instance: &RunnerId,
+        verdict: Option<LimitVerdict>,
+        now: Timestamp,
+    ) {
         let Some(word) = self.words.get_mut(instance) else {
             return;
         };
@@ -339,7 +348,7 @@
     }
 
     /// The same as [`Self::step`] without a leader.
-    pub fn step_alone(
+    pub fn step_without_leader(
         &mut self,
         instance: &RunnerId,
         patience: Millis,
@@ -349,7 +358,7 @@
         let limited = self.words.get_mut(instance);
         let limited = limited.and_then(|word| Some((word.rate?, word)));
         let Some((rate, word)) = limited else {
-            return LimitStep::Free;
+            return LimitStep::Unlimited;
         };
         let part = rate.granted_per_second() * ALONE_PART / f64::from(routers);
         let wait = match part >= OWN_ACCOUNT_FROM {
@@ -357,7 +366,7 @@
             false => word.turn_wait(&Rounds::of(rate, routers, phase), patience, now),
         };
         if wait <= patience {
-            return LimitStep::Alone { after: wait };
+            return LimitStep::LocalShare { after: wait };
         }
         word.waits_until = now + wait.clamp(LEAST_WAIT, LONGEST_WAIT_ALONE);
         word.fits_at = now + wait;
@@ -383,8 +392,8 @@
     }
 }
 
-fn word_of(instance: &RunnerId, word: &Word, now: Timestamp) -> LimitWord {
-    LimitWord {
+fn word_of(instance: &RunnerId, word: &Word, now: Timestamp) -> LimitReport {
+    LimitReport {
         instance: instance.clone(),
         rate: word.rate,
         age: now.since(word.named_at),
--- a/crates/services/src/limit/mod.rs
+++ b/crates/services/src/limit/mod.rs
@@ -71,7 +71,7 @@
 
 /// What an answer names as the requests a second that its instance takes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum NamedLimit {
+pub enum ReportedLimit {
     /// Nothing.
     #[default]
     None,
@@ -83,7 +83,7 @@
 
 /// What an instance said in an answer of the requests that it takes.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct LimitWord {
+pub struct LimitReport {
     /// The instance.
     pub instance: RunnerId,
     /// From all routers together; none: it names no limit any more.
@@ -94,13 +94,13 @@
 
 /// A router asks whether it may send one request.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct LimitAsk {
+pub struct LimitQuery {
     /// Number of the question, unique at the router.
     pub number: u64,
     /// Where to, and what the router knows of it: a new leader knows nothing.
-    pub word: LimitWord,
+    pub report: LimitReport,
     /// How long the request may wait for its turn.
-    pub patience: Millis,
+    pub max_wait: Millis,
 }
 
 /// The leader's answer.
--- a/crates/services/src/quarantine/ledger.rs
+++ b/crates/services/src/quarantine/ledger.rs
@@ -67,7 +67,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineChange {
     /// It is in quarantine now, after so many ends.
-    Begun {
+    Started {
         /// The content.
         content: Digest,
         /// Instances that ended under it.
@@ -79,7 +79,7 @@
         content: Digest,
     },
     /// It may be tried once more.
-    Tried {
+    Retrying {
         /// The content.
         content: Digest,
     },
@@ -97,7 +97,7 @@
 
 impl QuarantineLedger {
     /// Takes over what was recorded durably; time in quarantine begins anew.
-    pub fn seed(&mut self, recorded: &[QuarantinedContent], now: Timestamp) {
+    pub fn restore(&mut self, recorded: &[QuarantinedContent], now: Timestamp) {
         for one in recorded {
             let times = one.times;
             let entry = Quarantined { since: now, times };
@@ -137,7 +137,7 @@
         let times = suspect.times + 1;
         let entry = Quarantined { since: now, times };
         self.quarantined.insert(content, entry);
-        let begun = QuarantineChange::Begun { content, ends };
+        let begun = QuarantineChange::Started { content, ends };
         self.changes.push(begun);
         self.news = true;
     }
@@ -182,22 +182,22 @@
                 ..Suspect::default()
             };
             self.suspects.insert(content, suspect);
-            self.changes.push(QuarantineChange::Tried { content });
+            self.changes.push(QuarantineChange::Retrying { content });
             self.news = true;
         }
     }
 
     /// What routers are to be told: contents to vouch for, contents in quarantine.
     #[must_use]
-    pub fn told(&self) -> (Vec<Digest>, Vec<Digest>) {
+    pub fn contents_for_routers(&self) -> (Vec<Digest>, Vec<Digest>) {
         let suspects = self.suspects.iter();
         let near = suspects.filter(|(_, one)| one.ends() >= SUSPECTED_ENDS);
         let near = near.map(|(content, _)| *content).take(MAX_TOLD);
         (near.collect(), self.quarantined.keys().copied().collect())
     }
 
-    /// Whether [`Self::told`] has changed since the last call.
-    pub fn take_news(&mut self) -> bool {
+    /// Whether [`Self::contents_for_routers`] has changed since the last call.
+    pub fn take_contents_changed(&mut self) -> bool {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/services/src/quarantine/local.rs
+++ b/crates/services/src/quarantine/local.rs
@@ -41,7 +41,7 @@
     /// Whether requests of this content may not be sent. `led` tells whether a leader was
     /// heard lately.
     #[must_use]
-    pub fn holds(&self, content: &Digest, led: bool) -> bool {
+    pub fn is_quarantined(&self, content: &Digest, led: bool) -> bool {
         if led || self.quarantined.contains(content) {
             return self.quarantined.contains(content);
         }
@@ -104,14 +104,14 @@
     }
 
     /// A new leader is heard: it is told all that is remembered.
-    pub fn begin_leader(&mut self) {
+    pub fn mark_all_unreported(&mut self) {
         for end in &mut self.own_ends {
             end.is_told = false;
         }
     }
 
     /// What the leader has not been told: ends, and contents that were answered.
-    pub fn take_unsent(&mut self, now: Timestamp) -> (Vec<InstanceEnd>, Vec<Digest>) {
+    pub fn take_unreported(&mut self, now: Timestamp) -> (Vec<InstanceEnd>, Vec<Digest>) {
         let unsent = self.own_ends.iter_mut().filter(|end| !end.is_told);
         let ends = unsent.map(|end| {
             end.is_told = true;
--- a/crates/services/src/quota/history.rs
+++ b/crates/services/src/quota/history.rs
@@ -76,7 +76,7 @@
 
     /// Time until so many of the units are forgotten; `None` when there are fewer.
     #[must_use]
-    pub fn forgets_after(&self, units: f64, now: Timestamp) -> Option<Millis> {
+    pub fn expires_after(&self, units: f64, now: Timestamp) -> Option<Millis> {
         let mut forgotten = 0.0;
         let slots = self.slots.iter();
         let mut ends = slots.map(|slot| (slot.units, slot.at + self.slot + self.window));
@@ -88,14 +88,14 @@
     }
 
     /// Marks all as not told: another leader has to learn of it.
-    pub fn tell_anew(&mut self) {
+    pub fn mark_all_unreported(&mut self) {
         for slot in &mut self.slots {
             slot.untold = slot.units;
         }
     }
 
     /// Takes what has to be told, each with its age at least; empty slots are left out.
-    pub fn take_untold(&mut self, now: Timestamp) -> Vec<(i64, Millis)> {
+    pub fn take_unreported(&mut self, now: Timestamp) -> Vec<(i64, Millis)> {
         let length = self.slot;
         let slots = self.slots.iter_mut().filter(|slot| slot.untold != 0);
         let untold = slots.map(|slot| {
--- a/crates/services/src/quota/ledger.rs
+++ b/crates/services/src/quota/ledger.rs
@@ -6,7 +6,7 @@
 //! leadership), at the moment at which it happened.
 
 use super::history::History;
-use super::{QuotaAsk, QuotaSettings, QuotaVerdict, TenantStanding, TenantUse};
+use super::{QuotaQuery, QuotaSettings, QuotaVerdict, TenantAccountStatus, TenantUse};
 use crate::tenants::{Quota, Tenant};
 use crate::token_bucket::TokenBucket;
 use courseshunt_types::{Millis, Timestamp};
@@ -111,7 +111,7 @@
     /// Takes a router's report for an epoch; one for another epoch is told anew.
     /// Returns whether an account turned guarded or free and that is untold yet.
     pub fn report(&mut self, router: &str, epoch: u64, uses: &[TenantUse], now: Timestamp) -> bool {
-        self.router_heard(router);
+        self.router_contacted(router);
         if epoch != self.epoch {
             return false;
         }
@@ -127,8 +127,8 @@
     }
 
     /// Decides on one request of a router.
-    pub fn ask(&mut self, router: &str, ask: &QuotaAsk, now: Timestamp) -> QuotaVerdict {
-        let QuotaAsk {
+    pub fn decide(&mut self, router: &str, ask: &QuotaQuery, now: Timestamp) -> QuotaVerdict {
+        let QuotaQuery {
             tenant,
             units,
             rank,
@@ -169,25 +169,25 @@
     }
 
     /// Notes that a router is heard again.
-    pub fn router_heard(&mut self, router: &str) {
+    pub fn router_contacted(&mut self, router: &str) {
         self.lost.remove(router);
     }
 
     /// Whether an account turned guarded or free since the last call.
-    pub fn take_turned(&mut self) -> bool {
+    pub fn take_status_changed(&mut self) -> bool {
         std::mem::take(&mut self.turned)
     }
 
     /// How the accounts stand that were used lately.
-    pub fn standings(&mut self, now: Timestamp) -> Vec<TenantStanding> {
+    pub fn account_statuses(&mut self, now: Timestamp) -> Vec<TenantAccountStatus> {
         self.look(now);
         let accounts = self.accounts.iter_mut();
         let standings = accounts.filter_map(|(tenant, account)| {
             let used = u64::try_from(account.history.sum(now)).unwrap_or(0);
             let guarded = account.guarded;
-            (used > 0 || guarded).then(|| TenantStanding {
+            (used > 0 || guarded).then(|| TenantAccountStatus {
                 tenant: tenant.clone(),
-                guarded,
+                near_limit: guarded,
                 used,
             })
         });
@@ -292,7 +292,7 @@
         if missing <= 0.0 {
             return (unpaced > Millis(0)).then_some(unpaced);
         }
-        let forgotten = self.history.forgets_after(missing, now);
+        let forgotten = self.history.expires_after(missing, now);
         Some(unpaced.max(forgotten.unwrap_or(ACCOUNT_SLOT)))
     }
 
--- a/crates/services/src/quota/local.rs
+++ b/crates/services/src/quota/local.rs
@@ -5,7 +5,7 @@
 //! is given back.
 
 use super::history::History;
-use super::{LimitedRequest, QuotaAsk, QuotaSettings, TenantStanding, TenantUse};
+use super::{LimitedRequest, QuotaQuery, QuotaSettings, TenantAccountStatus, TenantUse};
 use crate::token_bucket::TokenBucket;
 use courseshunt_types::{Millis, Timestamp};
 use std::collections::HashMap;
@@ -30,7 +30,7 @@
     /// It is within the limit, and counted.
     Admit,
     /// The leader has to be asked.
-    Ask,
+    Query,
     /// It is beyond the limit.
     Refuse {
         /// Time after which it would fit.
@@ -97,7 +97,12 @@
 
     /// Takes the leader's word on the accounts over. A new leader is told anew what
     /// was used lately.
-    pub fn set_standings(&mut self, epoch: u64, standings: Vec<TenantStanding>, now: Timestamp) {
+    pub fn set_account_statuses(
+        &mut self,
+        epoch: u64,
+        standings: Vec<TenantAccountStatus>,
+        now: Timestamp,
+    ) {
         let window = self.settings.window;
         let is_new = epoch != self.epoch;
         self.epoch = epoch;
@@ -107,13 +112,13 @@
             account.history.sum(now);
             if is_new {
                 account.refused = None;
-                account.history.tell_anew();
+                account.history.mark_all_unreported();
             }
         }
         for standing in standings {
             let account = self.accounts.entry(standing.tenant);
             let account = account.or_insert_with(|| Account::new(window));
-            account.guarded = standing.guarded;
+            account.guarded = standing.near_limit;
             account.used_by_all = standing.used;
         }
     }
@@ -129,7 +134,7 @@
         now: Timestamp,
     ) -> QuotaStep {
         if !led || self.epoch == 0 {
-            return self.decide_alone(request, draw, now);
+            return self.decide_without_leader(request, draw, now);
         }
         let is_free = !self.account(request.tenant).guarded;
         if is_free && self.is_within_part(request, now) {
@@ -144,7 +149,7 @@
             Some(refused) => QuotaStep::Refuse {
                 fits_after: refused.until.since(now),
             },
-            None => QuotaStep::Ask,
+            None => QuotaStep::Query,
         }
     }
 
@@ -154,7 +159,7 @@
     /// limit, a request may then owe the rest. Of one that was near it, all routers
     /// together would so admit a multiple: there chance lets through as many as the
     /// parts add up to.
-    pub fn decide_alone(
+    pub fn decide_without_leader(
         &mut self,
         request: &LimitedRequest<'_>,
         draw: f64,
@@ -189,7 +194,7 @@
     }
 
     /// Notes that the leader refused a request.
-    pub fn refused(&mut self, ask: &QuotaAsk, fits_after: Millis, now: Timestamp) {
+    pub fn refused(&mut self, ask: &QuotaQuery, fits_after: Millis, now: Timestamp) {
         let refused = Refused {
             until: now + fits_after,
             units: ask.units,
@@ -199,7 +204,7 @@
     }
 
     /// Gives back what a request did not use that was counted at `counted_at`.
-    pub fn give_back(&mut self, tenant: &str, units: u32, counted_at: Timestamp, now: Timestamp) {
+    pub fn refund(&mut self, tenant: &str, units: u32, counted_at: Timestamp, now: Timestamp) {
         let account = self.account(tenant);
         let units = i64::from(units);
         account.history.add(-units, -units, counted_at);
@@ -213,7 +218,7 @@
         let mut uses = Vec::new();
         for (tenant, account) in &mut self.accounts {
             account.history.sum(now);
-            let untold = account.history.take_untold(now).into_iter();
+            let untold = account.history.take_unreported(now).into_iter();
             uses.extend(untold.map(|(units, age)| TenantUse {
                 tenant: tenant.clone(),
                 units,
--- a/crates/services/src/quota/mod.rs
+++ b/crates/services/src/quota/mod.rs
@@ -101,18 +101,18 @@
 
 /// How a tenant's account stands.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct TenantStanding {
+pub struct TenantAccountStatus {
     /// The tenant.
     pub tenant: String,
     /// Whether the leader has to be asked for each request.
-    pub guarded: bool,
+    pub near_limit: bool,
     /// Units that all routers used in the last window.
     pub used: u64,
 }
 
 /// A router asks for one request.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub struct QuotaAsk {
+pub struct QuotaQuery {
     /// Number of the question, unique at the router.
     pub number: u64,
     /// The tenant.
--- a/crates/services/src/selection/limits.rs
+++ b/crates/services/src/selection/limits.rs
@@ -1,36 +1,40 @@
 //! Limits that instances name, as a choice among them needs these: see [`crate::limit`].
 
 use super::Selector;
-use crate::limit::local::{LimitNews, LimitStep};
-use crate::limit::{LimitVerdict, LimitWord, RequestRate};
+use crate::limit::local::{LimitChange, LimitStep};
+use crate::limit::{LimitReport, LimitVerdict, RequestRate};
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 
 impl Selector {
     /// Notes which limit an answer names to a request that was sent at `asked_at`; none: it
     /// names no limit.
-    pub fn heard_limit(
+    pub fn observe_limit(
         &mut self,
         instance: &RunnerId,
         rate: Option<RequestRate>,
         asked_at: Timestamp,
         now: Timestamp,
-    ) -> LimitNews {
-        self.limits.heard(instance, rate, asked_at, now)
+    ) -> LimitChange {
+        self.limits.observe(instance, rate, asked_at, now)
     }
 
     /// Takes over what the leader tells of limits; returns what is news.
-    pub fn told_limits(&mut self, words: &[LimitWord], now: Timestamp) -> Vec<LimitWord> {
-        self.limits.told(words, now)
+    pub fn apply_leader_limits(
+        &mut self,
+        words: &[LimitReport],
+        now: Timestamp,
+    ) -> Vec<LimitReport> {
+        self.limits.apply_leader_reports(words, now)
     }
 
     /// What the leader has to be told of limits.
-    pub fn take_untold_limits(&mut self, now: Timestamp) -> Vec<LimitWord> {
-        self.limits.take_untold(now)
+    pub fn take_unreported_limits(&mut self, now: Timestamp) -> Vec<LimitReport> {
+        self.limits.take_unreported(now)
     }
 
     /// Another leader has to be told all limits.
-    pub fn tell_limits_anew(&mut self) {
-        self.limits.tell_anew();
+    pub fn mark_limits_unreported(&mut self) {
+        self.limits.mark_all_unreported();
     }
 
     /// What to do with a request for an instance, which may wait so long for its turn there.
@@ -46,13 +50,13 @@
     }
 
     /// Notes the end of a question on an instance's limit, with the answer if it came.
-    pub fn asked_limit(
+    pub fn finish_limit_query(
         &mut self,
         instance: &RunnerId,
         verdict: Option<LimitVerdict>,
         now: Timestamp,
     ) {
-        self.limits.asked(instance, verdict, now);
+        self.limits.finish_query(instance, verdict, now);
     }
 
     /// The limit that an instance names.
--- a/crates/services/src/selection/mod.rs
+++ b/crates/services/src/selection/mod.rs
@@ -195,7 +195,7 @@
     }
 
     /// The same among instances, too, that take a request only in a later turn by their limit.
-    pub fn choose_turn<'a>(
+    pub fn choose_with_wait<'a>(
         &mut self,
         shape: &PromptShape,
         views: impl Iterator<Item = &'a InstanceView>,
@@ -392,7 +392,7 @@
     }
 
     /// Notes that an instance turned a request away: it has read nothing of its prompt.
-    pub fn turned_away(&mut self, candidate: &Candidate) {
+    pub fn rejected(&mut self, candidate: &Candidate) {
         if let Some(local) = self.locals.get_mut(&candidate.instance) {
             local.prefixes.turned_away(candidate.ticket);
         }
@@ -400,14 +400,14 @@
 
     /// Notes that an instance said that it is not the one that is meant, or does not have what
     /// the request asks for.
-    pub fn lacks(&mut self, instance: &RunnerId, shape: &PromptShape, now: Timestamp) {
+    pub fn note_missing(&mut self, instance: &RunnerId, shape: &PromptShape, now: Timestamp) {
         let local = self.locals.entry(instance.clone()).or_default();
         local.absences.lacks(shape, now);
     }
 
     /// For how long an instance is not to be asked for the same, by its own word.
     #[must_use]
-    pub fn lacks_for(
+    pub fn missing_for(
         &self,
         instance: &RunnerId,
         shape: &PromptShape,
@@ -418,20 +418,20 @@
     }
 
     /// Notes that what an instance holds was told anew.
-    pub fn told_anew(&mut self, instance: &RunnerId) {
+    pub fn models_updated(&mut self, instance: &RunnerId) {
         if let Some(local) = self.locals.get_mut(instance) {
             local.absences.forget();
         }
     }
 
     /// Notes that an instance asked for rest.
-    pub fn asked_rest(&mut self, instance: &RunnerId, rest: Millis, now: Timestamp) {
-        self.pushbacks.asked_rest(instance, rest, now);
+    pub fn start_backoff(&mut self, instance: &RunnerId, rest: Millis, now: Timestamp) {
+        self.pushbacks.start_backoff(instance, rest, now);
     }
 
     /// Notes that an instance says that it leaves; returns whether that is news.
-    pub fn leaves(&mut self, instance: &RunnerId, now: Timestamp) -> bool {
-        self.pushbacks.leaves(instance, now)
+    pub fn note_leaving(&mut self, instance: &RunnerId, now: Timestamp) -> bool {
+        self.pushbacks.note_leaving(instance, now)
     }
 
     /// Instances that said that they leave.
@@ -441,8 +441,8 @@
 
     /// What an instance asked for that holds now: to rest, or that it leaves.
     #[must_use]
-    pub fn asked_for(&self, instance: &RunnerId, now: Timestamp) -> Option<Pushback> {
-        self.pushbacks.asked_for(instance, now)
+    pub fn active_pushback(&self, instance: &RunnerId, now: Timestamp) -> Option<Pushback> {
+        self.pushbacks.active_pushback(instance, now)
     }
 
     /// Why an instance is not to be sent a request now, by its own word.
@@ -450,9 +450,9 @@
     pub fn pushback(&self, view: &InstanceView, now: Timestamp) -> Option<Pushback> {
         let share = view.slots / self.routers.max(1);
         let share = usize::try_from(share).unwrap_or(usize::MAX);
-        let asked_for = self.pushbacks.of(&view.id, share, now);
+        let asked_for = self.pushbacks.blocked_by(&view.id, share, now);
         asked_for.or_else(|| {
-            let wait = self.limits.has_no_room_for(&view.id, now);
+            let wait = self.limits.blocked_for(&view.id, now);
             wait.map(Pushback::Limited)
         })
     }
@@ -461,7 +461,7 @@
         match self.pushback(view, now) {
             None => true,
             Some(Pushback::Limited(_)) => {
-                gate == Gate::LaterTurn && self.limits.may_ask_for_turn(&view.id)
+                gate == Gate::LaterTurn && self.limits.may_query(&view.id)
             }
             Some(_) => false,
         }
--- a/crates/services/src/selection/pushback.rs
+++ b/crates/services/src/selection/pushback.rs
@@ -24,9 +24,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pushback {
     /// To be sent nothing for so long from now on.
-    Rest(Millis),
+    Backoff(Millis),
     /// Its rest is over, and it has as many requests as it gets at once at first.
-    Returns,
+    Recovering,
     /// To be sent nothing for so long: its limit is used up.
     Limited(Millis),
     /// To be sent nothing any more.
@@ -36,10 +36,10 @@
 impl Pushback {
     /// Name for logs and metrics.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Self::Rest(_) => "rest",
-            Self::Returns => "returns",
+            Self::Backoff(_) => "rest",
+            Self::Recovering => "returns",
             Self::Limited(_) => "limited",
             Self::Leaving => "leaving",
         }
@@ -73,7 +73,7 @@
 
 impl Pushbacks {
     /// Notes that an instance asked for rest; one that asked for longer keeps that.
-    pub fn asked_rest(&mut self, instance: &RunnerId, rest: Millis, now: Timestamp) {
+    pub fn start_backoff(&mut self, instance: &RunnerId, rest: Millis, now: Timestamp) {
         let asked = self.asked(instance, now);
         asked.rest_until = asked.rest_until.max(now.surely_after(rest));
         asked.few_until = asked.few_until.max(asked.rest_until + rest);
@@ -81,33 +81,38 @@
     }
 
     /// Notes that an instance leaves; returns whether that is news.
-    pub fn leaves(&mut self, instance: &RunnerId, now: Timestamp) -> bool {
+    pub fn note_leaving(&mut self, instance: &RunnerId, now: Timestamp) -> bool {
         let asked = self.asked(instance, now);
         !std::mem::replace(&mut asked.leaving, true)
     }
 
     /// What an instance asked for that holds now: to rest, or that it leaves.
     #[must_use]
-    pub fn asked_for(&self, instance: &RunnerId, now: Timestamp) -> Option<Pushback> {
+    pub fn active_pushback(&self, instance: &RunnerId, now: Timestamp) -> Option<Pushback> {
         let asked = self.asked.get(instance)?;
         if asked.leaving {
             return Some(Pushback::Leaving);
         }
         let rests = now < asked.rest_until;
-        rests.then(|| Pushback::Rest(asked.rest_until.since(now)))
+        rests.then(|| Pushback::Backoff(asked.rest_until.since(now)))
     }
 
     /// Why an instance is not to be sent a request now; none: it may be. `share` is this
     /// process's part of its slots.
     #[must_use]
-    pub fn of(&self, instance: &RunnerId, share: usize, now: Timestamp) -> Option<Pushback> {
-        if let Some(asked_for) = self.asked_for(instance, now) {
+    pub fn blocked_by(
+        &self,
+        instance: &RunnerId,
+        share: usize,
+        now: Timestamp,
+    ) -> Option<Pushback> {
+        if let Some(asked_for) = self.active_pushback(instance, now) {
             return Some(asked_for);
         }
         let asked = self.asked.get(instance)?;
         let window = asked.window.min(share.max(FIRST_WINDOW));
         let has_all = !asked.is_over(now) && asked.under_way.len() >= window;
-        has_all.then_some(Pushback::Returns)
+        has_all.then_some(Pushback::Recovering)
     }
 
     /// Instances that said that they leave.
--- a/crates/services/tests/instance_limit_ways.rs
+++ b/crates/services/tests/instance_limit_ways.rs
@@ -5,7 +5,7 @@
 
 use courseshunt_services::token_bucket::TokenBucket;
 use courseshunt_services::{
-    LimitAsk, LimitLedger, LimitStep, LimitVerdict, RequestRate, RouterLimits,
+    LimitLedger, LimitQuery, LimitStep, LimitVerdict, RequestRate, RouterLimits,
 };
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use rand_pcg::Pcg64;
@@ -97,7 +97,7 @@
     let mut routers: Vec<RouterLimits> = (0..case.routers)
         .map(|_| {
             let mut limits = RouterLimits::new(even(random));
-            limits.heard(&instance, Some(rate), Timestamp(0), Timestamp(0));
+            limits.observe(&instance, Some(rate), Timestamp(0), Timestamp(0));
             limits
         })
         .collect();
@@ -105,19 +105,21 @@
     let mut sent = Vec::new();
     for (now, router) in arrivals {
         let router = &mut routers[*router];
-        if router.has_no_room_for(&instance, Timestamp(*now)).is_some() {
+        if router.blocked_for(&instance, Timestamp(*now)).is_some() {
             continue;
         }
         let step = router.step(&instance, Millis(0), true, Timestamp(*now));
-        let LimitStep::Ask(word) = step else { continue };
-        let ask = LimitAsk {
+        let LimitStep::Query(word) = step else {
+            continue;
+        };
+        let ask = LimitQuery {
             number: 1,
-            word,
-            patience: Millis(0),
+            report: word,
+            max_wait: Millis(0),
         };
-        let verdict = ledger.ask(&ask, Timestamp(now + ROUND_TRIP_MS / 2));
+        let verdict = ledger.decide(&ask, Timestamp(now + ROUND_TRIP_MS / 2));
         let answered = Timestamp(now + ROUND_TRIP_MS);
-        router.asked(&instance, Some(verdict), answered);
+        router.finish_query(&instance, Some(verdict), answered);
         if matches!(verdict, LimitVerdict::Granted { .. }) {
             sent.push(answered.0);
         }
--- a/crates/services/tests/instance_limits.rs
+++ b/crates/services/tests/instance_limits.rs
@@ -1,7 +1,8 @@
 //! Limits that instances name: whose word holds, who may send when, and the sum over routers.
 
 use courseshunt_services::{
-    LimitAsk, LimitLedger, LimitNews, LimitStep, LimitVerdict, LimitWord, RequestRate, RouterLimits,
+    LimitChange, LimitLedger, LimitQuery, LimitReport, LimitStep, LimitVerdict, RequestRate,
+    RouterLimits,
 };
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use rand_pcg::Pcg64;
@@ -23,19 +24,19 @@
     RequestRate::per_second(per_second).expect("a rate")
 }
 
-fn word(named: Option<RequestRate>, age: u64) -> LimitWord {
-    LimitWord {
+fn word(named: Option<RequestRate>, age: u64) -> LimitReport {
+    LimitReport {
         instance: instance(),
         rate: named,
         age: Millis(age),
     }
 }
 
-fn ask(named: f64, age: u64, patience: u64) -> LimitAsk {
-    LimitAsk {
+fn ask(named: f64, age: u64, patience: u64) -> LimitQuery {
+    LimitQuery {
         number: 1,
-        word: word(Some(rate(named)), age),
-        patience: Millis(patience),
+        report: word(Some(rate(named)), age),
+        max_wait: Millis(patience),
     }
 }
 
@@ -57,26 +58,26 @@
 #[test]
 fn an_answer_that_was_overtaken_ends_no_limit() {
     let mut limits = RouterLimits::new(0.0);
-    let named = limits.heard(&instance(), Some(rate(2.0)), at(10), at(100));
-    assert_eq!(named, LimitNews::Named(rate(2.0)));
+    let named = limits.observe(&instance(), Some(rate(2.0)), at(10), at(100));
+    assert_eq!(named, LimitChange::Reported(rate(2.0)));
     // Asked before the word was heard: it may have been answered before that, too.
     assert_eq!(
-        limits.heard(&instance(), None, at(90), at(120)),
-        LimitNews::None
+        limits.observe(&instance(), None, at(90), at(120)),
+        LimitChange::None
     );
     assert_eq!(limits.limit_of(&instance()), Some(rate(2.0)));
     assert_eq!(
-        limits.heard(&instance(), None, at(100), at(130)),
-        LimitNews::Lifted
+        limits.observe(&instance(), None, at(100), at(130)),
+        LimitChange::Removed
     );
     assert_eq!(limits.limit_of(&instance()), None);
     assert_eq!(
         limits.step(&instance(), NOW, true, at(131)),
-        LimitStep::Free
+        LimitStep::Unlimited
     );
     assert_eq!(
-        limits.heard(&instance(), None, at(140), at(150)),
-        LimitNews::None
+        limits.observe(&instance(), None, at(140), at(150)),
+        LimitChange::None
     );
 }
 
@@ -85,8 +86,8 @@
     let mut limits = RouterLimits::new(0.0);
     for (number, per_second) in [1.0, 7.5, 0.0, 3.0].into_iter().enumerate() {
         let now = at(number as i64 * 10);
-        let news = limits.heard(&instance(), Some(rate(per_second)), now, now);
-        assert_eq!(news, LimitNews::Named(rate(per_second)));
+        let news = limits.observe(&instance(), Some(rate(per_second)), now, now);
+        assert_eq!(news, LimitChange::Reported(rate(per_second)));
         assert_eq!(limits.limit_of(&instance()), Some(rate(per_second)));
     }
 }
@@ -94,39 +95,44 @@
 #[test]
 fn a_router_takes_the_leaders_word_only_if_it_is_newer_than_its_own() {
     let mut limits = RouterLimits::new(0.0);
-    let told = limits.told(&[word(Some(rate(1.0)), 50)], at(1_000));
+    let told = limits.apply_leader_reports(&[word(Some(rate(1.0)), 50)], at(1_000));
     assert_eq!(told.len(), 1, "it had heard nothing itself");
     assert_eq!(
-        limits.heard(&instance(), None, at(1_000), at(1_010)),
-        LimitNews::Lifted
+        limits.observe(&instance(), None, at(1_000), at(1_010)),
+        LimitChange::Removed
     );
     assert!(
         limits
-            .told(&[word(Some(rate(1.0)), 60)], at(1_040))
+            .apply_leader_reports(&[word(Some(rate(1.0)), 60)], at(1_040))
             .is_empty()
     );
     assert_eq!(limits.limit_of(&instance()), None);
-    assert_eq!(limits.told(&[word(Some(rate(2.0)), 5)], at(1_040)).len(), 1);
+    assert_eq!(
+        limits
+            .apply_leader_reports(&[word(Some(rate(2.0)), 5)], at(1_040))
+            .len(),
+        1
+    );
     assert_eq!(limits.limit_of(&instance()), Some(rate(2.0)));
     // The end of a limit of which this router has heard nothing is no news.
-    let other = LimitWord {
+    let other = LimitReport {
         instance: RunnerId::from("i-2"),
         rate: None,
         age: Millis(0),
     };
-    assert!(limits.told(&[other], at(1_050)).is_empty());
+    assert!(limits.apply_leader_reports(&[other], at(1_050)).is_empty());
 }
 
 #[test]
 fn the_leader_is_told_each_word_once_and_the_next_leader_anew() {
     let mut limits = RouterLimits::new(0.0);
-    limits.heard(&instance(), Some(rate(1.0)), at(0), at(100));
-    assert_eq!(limits.take_untold(at(130)), [word(Some(rate(1.0)), 30)]);
-    assert!(limits.take_untold(at(140)).is_empty());
-    limits.heard(&instance(), Some(rate(1.0)), at(120), at(150));
-    assert!(limits.take_untold(at(160)).is_empty(), "the same again");
-    limits.tell_anew();
-    assert_eq!(limits.take_untold(at(160)), [word(Some(rate(1.0)), 10)]);
+    limits.observe(&instance(), Some(rate(1.0)), at(0), at(100));
+    assert_eq!(limits.take_unreported(at(130)), [word(Some(rate(1.0)), 30)]);
+    assert!(limits.take_unreported(at(140)).is_empty());
+    limits.observe(&instance(), Some(rate(1.0)), at(120), at(150));
+    assert!(limits.take_unreported(at(160)).is_empty(), "the same again");
+    limits.mark_all_unreported();
+    assert_eq!(limits.take_unreported(at(160)), [word(Some(rate(1.0)), 10)]);
 }
 
 #[test]
@@ -136,23 +142,23 @@
         after: Millis(after),
     };
     for _ in 0..2 {
-        assert_eq!(ledger.ask(&ask(2.0, 0, 0), at(0)), granted(0));
+        assert_eq!(ledger.decide(&ask(2.0, 0, 0), at(0)), granted(0));
     }
     assert_eq!(
-        ledger.ask(&ask(2.0, 0, 100), at(0)),
+        ledger.decide(&ask(2.0, 0, 100), at(0)),
         LimitVerdict::Refused {
             fits_after: Millis(500)
         },
         "at once, with the time"
     );
-    assert_eq!(ledger.ask(&ask(2.0, 0, 900), at(0)), granted(500));
+    assert_eq!(ledger.decide(&ask(2.0, 0, 900), at(0)), granted(500));
     assert_eq!(
-        ledger.ask(&ask(2.0, 0, 900), at(0)),
+        ledger.decide(&ask(2.0, 0, 900), at(0)),
         LimitVerdict::Refused {
             fits_after: Millis(1_000)
         },
     );
-    assert_eq!(ledger.ask(&ask(2.0, 0, 1_100), at(0)), granted(1_000));
+    assert_eq!(ledger.decide(&ask(2.0, 0, 1_100), at(0)), granted(1_000));
 }
 
 /// Its own turn may be minutes away; a leader is back in a moment, or has only been slow.
@@ -161,21 +167,21 @@
     let refused = || {
         let mut limits = RouterLimits::new(0.5);
         limits.set_routers(340);
-        limits.heard(&instance(), Some(rate(1.0)), at(0), at(0));
+        limits.observe(&instance(), Some(rate(1.0)), at(0), at(0));
         let step = limits.step(&instance(), NOW, false, at(1_000));
         let LimitStep::Refuse { fits_after } = step else {
             panic!("its turn is later: {step:?}");
         };
         assert!(fits_after > Millis(60_000), "{fits_after:?}");
-        let expected = limits.has_no_room_for(&instance(), at(1_001));
+        let expected = limits.blocked_for(&instance(), at(1_001));
         assert!(expected > Some(Millis(60_000)), "{expected:?}");
         limits
     };
     let slow = refused();
-    assert_eq!(slow.has_no_room_for(&instance(), at(1_600)), None);
+    assert_eq!(slow.blocked_for(&instance(), at(1_600)), None);
     let mut back = refused();
-    back.tell_anew();
-    assert_eq!(back.has_no_room_for(&instance(), at(1_001)), None);
+    back.mark_all_unreported();
+    assert_eq!(back.blocked_for(&instance(), at(1_001)), None);
 }
 
 #[test]
@@ -183,7 +189,7 @@
     let mut ledger = LimitLedger::default();
     let mut tried = 0;
     for second in 0..60 {
-        let verdict = ledger.ask(&ask(0.0, 0, 0), at(second * 1_000));
+        let verdict = ledger.decide(&ask(0.0, 0, 0), at(second * 1_000));
         tried += i32::from(matches!(verdict, LimitVerdict::Granted { .. }));
     }
     assert_eq!(
@@ -198,9 +204,9 @@
     assert!(ledger.note(&word(Some(rate(1.0)), 0), at(1_000)));
     assert!(ledger.note(&word(None, 0), at(2_000)));
     assert!(!ledger.note(&word(Some(rate(1.0)), 500), at(2_100)));
-    assert_eq!(ledger.words(at(2_100)), [word(None, 100)]);
+    assert_eq!(ledger.reports(at(2_100)), [word(None, 100)]);
     ledger.retain(|_| true, at(13_000));
-    assert!(ledger.words(at(13_000)).is_empty());
+    assert!(ledger.reports(at(13_000)).is_empty());
 }
 
 /// A leader that grants, its successor, and routers that are cut off from both.
@@ -233,7 +239,7 @@
         .map(|_| {
             let mut limits = RouterLimits::new(even(&mut random));
             limits.set_routers(count);
-            limits.heard(&instance(), Some(rate(per_second)), at(0), at(0));
+            limits.observe(&instance(), Some(rate(per_second)), at(0), at(0));
             limits
         })
         .collect();
@@ -249,19 +255,19 @@
             let number = (even(&mut random) * routers as f64) as usize;
             let led = now < 20_000 && !number.is_multiple_of(3);
             let router = &mut fleet[number];
-            if router.has_no_room_for(&instance(), at(now)).is_some() {
+            if router.blocked_for(&instance(), at(now)).is_some() {
                 continue;
             }
             match router.step(&instance(), NOW, led, at(now)) {
-                LimitStep::Alone { .. } => sent.push(now),
-                LimitStep::Ask(word) => {
-                    let ask = LimitAsk {
+                LimitStep::LocalShare { .. } => sent.push(now),
+                LimitStep::Query(word) => {
+                    let ask = LimitQuery {
                         number: 1,
-                        word,
-                        patience: NOW,
+                        report: word,
+                        max_wait: NOW,
                     };
-                    let verdict = ledger.ask(&ask, at(now));
-                    router.asked(&instance(), Some(verdict), at(now));
+                    let verdict = ledger.decide(&ask, at(now));
+                    router.finish_query(&instance(), Some(verdict), at(now));
                     if matches!(verdict, LimitVerdict::Granted { .. }) {
                         sent.push(now);
                     }
--- a/crates/services/tests/pushback.rs
+++ b/crates/services/tests/pushback.rs
@@ -48,12 +48,12 @@
 fn rest_holds_until_its_end_and_a_shorter_one_changes_nothing() {
     let views = [view("a")];
     let mut selector = selector();
-    selector.asked_rest(&views[0].id, REST, NOW);
-    selector.asked_rest(&views[0].id, Millis(100), NOW);
+    selector.start_backoff(&views[0].id, REST, NOW);
+    selector.start_backoff(&views[0].id, Millis(100), NOW);
     let last = Timestamp(OVER.0 - 1);
     assert_eq!(
         selector.pushback(&views[0], last),
-        Some(Pushback::Rest(Millis(1)))
+        Some(Pushback::Backoff(Millis(1)))
     );
     assert!(send(&mut selector, &views, last).is_none());
     assert!(send(&mut selector, &views, OVER).is_some());
@@ -66,7 +66,7 @@
 fn rest_lasts_its_whole_time_wherever_in_a_millisecond_it_was_asked_for() {
     let views = [view("a")];
     let mut selector = selector();
-    selector.asked_rest(&views[0].id, REST, NOW);
+    selector.start_backoff(&views[0].id, REST, NOW);
     assert!(send(&mut selector, &views, NOW + REST).is_none());
     assert!(send(&mut selector, &views, NOW + REST + Millis(1)).is_some());
 }
@@ -77,7 +77,7 @@
     let mut selector = selector();
     // Sent before the rest: its answer tells nothing of the time after it.
     let before = send(&mut selector, &views, NOW).expect("a choice");
-    selector.asked_rest(&views[0].id, REST, NOW);
+    selector.start_backoff(&views[0].id, REST, NOW);
     let mut now = OVER;
     let mut at_once = Vec::new();
     let mut under_way = send_all(&mut selector, &views, now);
@@ -95,7 +95,7 @@
     assert_eq!(at_once, [1, 2, 4, 4]);
     assert_eq!(
         selector.pushback(&views[0], now),
-        Some(Pushback::Returns),
+        Some(Pushback::Recovering),
         "it has its share"
     );
     let after = OVER + REST;
@@ -107,7 +107,7 @@
 fn one_that_is_turned_away_or_fails_after_a_rest_makes_room_for_one_other() {
     let views = [view("a")];
     let mut selector = selector();
-    selector.asked_rest(&views[0].id, REST, NOW);
+    selector.start_backoff(&views[0].id, REST, NOW);
     let first = send(&mut selector, &views, OVER).expect("a choice");
     assert!(send(&mut selector, &views, OVER).is_none());
     assert!(selector.end(&first, false), "there is room again");
@@ -120,9 +120,9 @@
     let mut views = [view("a"), view("b")];
     views[0].id = first.clone();
     let mut selector = selector();
-    assert!(selector.leaves(&first, NOW));
-    assert!(!selector.leaves(&first, NOW), "no news");
-    selector.asked_rest(&first, Millis(1), NOW);
+    assert!(selector.note_leaving(&first, NOW));
+    assert!(!selector.note_leaving(&first, NOW), "no news");
+    selector.start_backoff(&first, Millis(1), NOW);
     // It drops out of the view, and is told as ready again.
     selector.retain(|_| false);
     let later = NOW + Millis(3_600_000);
@@ -137,7 +137,7 @@
 fn rest_outlives_a_place_in_the_view() {
     let views = [view("a")];
     let mut selector = selector();
-    selector.asked_rest(&views[0].id, REST, NOW);
+    selector.start_backoff(&views[0].id, REST, NOW);
     selector.retain(|_| false);
     assert!(send(&mut selector, &views, NOW + Millis(1)).is_none());
 }
@@ -147,10 +147,10 @@
     let mut pushbacks = Pushbacks::default();
     for number in 0..20_000_u64 {
         let id = RunnerId::from(format!("i-{number}").as_str());
-        pushbacks.leaves(&id, Timestamp::at(number));
+        pushbacks.note_leaving(&id, Timestamp::at(number));
     }
     assert!(pushbacks.leaving().count() <= 16_384);
     let newest = RunnerId::from("i-19999");
-    let asked_for = pushbacks.asked_for(&newest, Timestamp(20_000));
+    let asked_for = pushbacks.active_pushback(&newest, Timestamp(20_000));
     assert_eq!(asked_for, Some(Pushback::Leaving));
 }
--- a/crates/services/tests/pushback_ways.rs
+++ b/crates/services/tests/pushback_ways.rs
@@ -71,7 +71,9 @@
 
     fn turned_away(&mut self, way: Way, job: &Job, now: Timestamp) {
         match way {
-            Way::Shares => self.selector.asked_rest(&job.candidate.instance, REST, now),
+            Way::Shares => self
+                .selector
+                .start_backoff(&job.candidate.instance, REST, now),
             _ => self.rest_until = self.rest_until.max(now + REST),
         }
         self.selector.end(&job.candidate, false);
--- a/crates/services/tests/quarantine.rs
+++ b/crates/services/tests/quarantine.rs
@@ -26,11 +26,11 @@
 }
 
 fn is_quarantined(ledger: &QuarantineLedger, text: &str) -> bool {
-    ledger.told().1.contains(&content(text))
+    ledger.contents_for_routers().1.contains(&content(text))
 }
 
 fn is_suspected(ledger: &QuarantineLedger, text: &str) -> bool {
-    ledger.told().0.contains(&content(text))
+    ledger.contents_for_routers().0.contains(&content(text))
 }
 
 /// A ledger in which these many instances ended under "a".
@@ -97,7 +97,7 @@
     assert!(is_quarantined(&ledger, "a"));
     assert_eq!(
         ledger.take_changes(),
-        [QuarantineChange::Begun {
+        [QuarantineChange::Started {
             content: content("a"),
             ends: MAX_ENDS
         }]
@@ -135,13 +135,13 @@
 #[test]
 fn routers_are_told_only_when_something_has_changed() {
     let mut ledger = ledger_with(1);
-    assert!(!ledger.take_news(), "one end makes no suspect");
+    assert!(!ledger.take_contents_changed(), "one end makes no suspect");
     ledger.ended(&end("a", "i-8"), at(1));
-    assert!(ledger.take_news());
+    assert!(ledger.take_contents_changed());
     ledger.ended(&end("a", "i-8"), at(1));
-    assert!(!ledger.take_news(), "told twice");
+    assert!(!ledger.take_contents_changed(), "told twice");
     ledger.ended(&end("a", "i-9"), at(2));
-    assert!(ledger.take_news());
+    assert!(ledger.take_contents_changed());
 }
 
 #[test]
@@ -149,7 +149,7 @@
     for ends in [2, 3] {
         let mut ledger = ledger_with(ends);
         ledger.answered(content("a"));
-        let (suspected, quarantined) = ledger.told();
+        let (suspected, quarantined) = ledger.contents_for_routers();
         assert!(suspected.is_empty() && quarantined.is_empty());
         assert!(ledger.to_record().is_empty());
         ledger.ended(&end("a", "i-9"), at(2));
@@ -164,7 +164,7 @@
 fn a_quarantine_outlives_its_leader_and_is_tried_again_ever_more_rarely() {
     let recorded = ledger_with(MAX_ENDS).to_record();
     let mut ledger = QuarantineLedger::default();
-    ledger.seed(&recorded, at(0));
+    ledger.restore(&recorded, at(0));
     assert!(is_quarantined(&ledger, "a"));
     let mut now = at(0);
     for longer in [1, 4, 16] {
@@ -213,7 +213,7 @@
             ledger.ended(&end(&format!("c-{number}"), instance), told);
         }
     }
-    assert_eq!(ledger.told().1.len(), 256);
+    assert_eq!(ledger.contents_for_routers().1.len(), 256);
     assert!(is_quarantined(&ledger, "c-299") && !is_quarantined(&ledger, "c-0"));
 }
 
@@ -227,15 +227,24 @@
     for (second, instance) in [(1, "i-1"), (2, "i-2"), (3, "i-2")] {
         see(&mut router, instance, second);
     }
-    assert!(router.holds(&content("told"), true) && router.holds(&content("told"), false));
-    assert!(!router.holds(&content("seen"), false), "two instances");
+    assert!(
+        router.is_quarantined(&content("told"), true)
+            && router.is_quarantined(&content("told"), false)
+    );
+    assert!(
+        !router.is_quarantined(&content("seen"), false),
+        "two instances"
+    );
     see(&mut router, "i-3", 3);
-    assert!(router.holds(&content("seen"), false));
-    assert!(!router.holds(&content("seen"), true), "the leader decides");
+    assert!(router.is_quarantined(&content("seen"), false));
+    assert!(
+        !router.is_quarantined(&content("seen"), true),
+        "the leader decides"
+    );
     router.answered(content("seen"), at(2));
-    assert!(!router.holds(&content("seen"), false));
+    assert!(!router.is_quarantined(&content("seen"), false));
     router.set(Vec::new(), Vec::new(), at(3));
-    assert!(!router.holds(&content("told"), true));
+    assert!(!router.is_quarantined(&content("told"), true));
 }
 
 #[test]
@@ -245,10 +254,10 @@
     router.answered(content("new"), at(11));
     let asked = ["old", "new", "later"].map(content).to_vec();
     router.set(asked, Vec::new(), at(20));
-    assert_eq!(router.take_unsent(at(20)).1, [content("new")]);
+    assert_eq!(router.take_unreported(at(20)).1, [content("new")]);
     assert!(router.answered(content("later"), at(21)));
     assert!(!router.answered(content("nobody asks"), at(21)));
-    assert_eq!(router.take_unsent(at(21)).1, [content("later")]);
+    assert_eq!(router.take_unreported(at(21)).1, [content("later")]);
 }
 
 #[test]
@@ -256,14 +265,14 @@
     let mut router = RouterQuarantine::default();
     router.ended(content("a"), RunnerId::from("i-1"), at(1));
     router.ended(content("a"), RunnerId::from("i-1"), at(1));
-    assert_eq!(router.take_unsent(at(1)).0, [end("a", "i-1")]);
-    assert!(router.take_unsent(at(2)).0.is_empty());
-    router.begin_leader();
+    assert_eq!(router.take_unreported(at(1)).0, [end("a", "i-1")]);
+    assert!(router.take_unreported(at(2)).0.is_empty());
+    router.mark_all_unreported();
     let told = InstanceEnd {
         age: Millis(4_000),
         ..end("a", "i-1")
     };
-    assert_eq!(router.take_unsent(at(5)).0, [told]);
+    assert_eq!(router.take_unreported(at(5)).0, [told]);
 }
 
 #[test]
--- a/crates/services/tests/quarantine_ways.rs
+++ b/crates/services/tests/quarantine_ways.rs
@@ -124,7 +124,7 @@
         let live: Vec<usize> = (0..INSTANCES)
             .filter(|one| self.instances[*one].back_at <= self.now)
             .collect();
-        let held = self.routers[router].holds(&content, true);
+        let held = self.routers[router].is_quarantined(&content, true);
         if live.is_empty() || held {
             self.outcome.sound_in_quarantine += usize::from(held && !deadly);
             return;
@@ -210,7 +210,7 @@
             }
         }
         for router in &mut self.routers {
-            let (ends, answered) = router.take_unsent(self.now);
+            let (ends, answered) = router.take_unreported(self.now);
             for end in ends {
                 self.ledger.ended(&end, self.now);
             }
@@ -218,12 +218,12 @@
                 self.ledger.answered(content);
             }
         }
-        if self.ledger.take_news() {
+        if self.ledger.take_contents_changed() {
             self.told_at = Some(self.now + MESSAGE);
         }
         if self.told_at.is_some_and(|at| at <= self.now) {
             self.told_at = None;
-            let (suspected, quarantined) = self.ledger.told();
+            let (suspected, quarantined) = self.ledger.contents_for_routers();
             for router in &mut self.routers {
                 router.set(suspected.clone(), quarantined.clone(), self.now);
             }
--- a/crates/services/tests/quota.rs
+++ b/crates/services/tests/quota.rs
@@ -2,7 +2,7 @@
 //! and limits.
 
 use courseshunt_services::{
-    LimitedRequest, Quota, QuotaAsk, QuotaLedger, QuotaSettings, QuotaStep, QuotaUnit,
+    LimitedRequest, Quota, QuotaLedger, QuotaQuery, QuotaSettings, QuotaStep, QuotaUnit,
     QuotaVerdict, RouterQuotas, Tenant, TenantUse,
 };
 use courseshunt_types::{Millis, Timestamp};
@@ -33,8 +33,8 @@
     ledger
 }
 
-fn asked(units: u32, rank: u8) -> QuotaAsk {
-    QuotaAsk {
+fn asked(units: u32, rank: u8) -> QuotaQuery {
+    QuotaQuery {
         number: 1,
         tenant: "t".to_owned(),
         units,
@@ -61,8 +61,8 @@
 
 /// Whether the account has exactly this much left; at most what goes at once, 225.
 fn has_left(ledger: &mut QuotaLedger, units: u32, now: Timestamp) -> bool {
-    let all = ledger.ask("probe", &asked(units, 0), now);
-    let more = ledger.ask("probe", &asked(1, 0), now);
+    let all = ledger.decide("probe", &asked(units, 0), now);
+    let more = ledger.decide("probe", &asked(1, 0), now);
     all == QuotaVerdict::Granted && matches!(more, QuotaVerdict::Refused { .. })
 }
 
@@ -71,11 +71,14 @@
 fn what_is_granted_or_told_is_counted_once_for_a_window() {
     let now = Timestamp(20_000);
     let mut ledger = ledger(1, now);
-    assert_eq!(ledger.ask("r", &asked(150, 0), now), QuotaVerdict::Granted);
+    assert_eq!(
+        ledger.decide("r", &asked(150, 0), now),
+        QuotaVerdict::Granted
+    );
     ledger.report("r", 1, &[used(1_500, 2_000)], now);
     let later = now + Millis(1_000);
     assert!(has_left(&mut ledger, 150, later));
-    let refused = ledger.ask("r", &asked(50, 0), later);
+    let refused = ledger.decide("r", &asked(50, 0), later);
     assert!(
         matches!(refused, QuotaVerdict::Refused { fits_after } if fits_after == Millis(5_100)),
         "{refused:?}"
@@ -90,13 +93,16 @@
     let now = Timestamp(20_000);
     let mut ledger = ledger(1, now);
     assert!(has_left(&mut ledger, 225, now));
-    let refused = ledger.ask("r", &asked(45, 0), now);
+    let refused = ledger.decide("r", &asked(45, 0), now);
     assert!(
         matches!(refused, QuotaVerdict::Refused { fits_after } if fits_after == Millis(200)),
         "{refused:?}"
     );
     let later = now + Millis(200);
-    assert_eq!(ledger.ask("r", &asked(45, 0), later), QuotaVerdict::Granted);
+    assert_eq!(
+        ledger.decide("r", &asked(45, 0), later),
+        QuotaVerdict::Granted
+    );
 }
 
 /// Of a tenant that sends too much, the least urgent requests are refused first.
@@ -104,13 +110,22 @@
 fn urgent_requests_find_room_that_others_leave() {
     let now = Timestamp(20_000);
     let mut ledger = ledger(1, now);
-    assert_eq!(ledger.ask("r", &asked(130, 2), now), QuotaVerdict::Granted);
-    let late_rank = ledger.ask("r", &asked(10, 2), now);
+    assert_eq!(
+        ledger.decide("r", &asked(130, 2), now),
+        QuotaVerdict::Granted
+    );
+    let late_rank = ledger.decide("r", &asked(10, 2), now);
     assert!(matches!(late_rank, QuotaVerdict::Refused { .. }));
-    assert_eq!(ledger.ask("r", &asked(40, 1), now), QuotaVerdict::Granted);
-    let middle_rank = ledger.ask("r", &asked(20, 1), now);
+    assert_eq!(
+        ledger.decide("r", &asked(40, 1), now),
+        QuotaVerdict::Granted
+    );
+    let middle_rank = ledger.decide("r", &asked(20, 1), now);
     assert!(matches!(middle_rank, QuotaVerdict::Refused { .. }));
-    assert_eq!(ledger.ask("r", &asked(50, 0), now), QuotaVerdict::Granted);
+    assert_eq!(
+        ledger.decide("r", &asked(50, 0), now),
+        QuotaVerdict::Granted
+    );
 }
 
 /// A request larger than what goes at once needs a full account, and owes the rest.
@@ -119,12 +134,12 @@
     let now = Timestamp(20_000);
     let mut ledger = ledger(1, now);
     assert_eq!(
-        ledger.ask("r", &asked(5_000, 0), now),
+        ledger.decide("r", &asked(5_000, 0), now),
         QuotaVerdict::Granted
     );
-    let refused = ledger.ask("r", &asked(5_000, 0), now + Millis(8_000));
+    let refused = ledger.decide("r", &asked(5_000, 0), now + Millis(8_000));
     assert!(matches!(refused, QuotaVerdict::Refused { .. }));
-    let again = ledger.ask("r", &asked(5_000, 0), now + Millis(8_100));
+    let again = ledger.decide("r", &asked(5_000, 0), now + Millis(8_100));
     assert_eq!(again, QuotaVerdict::Granted);
 }
 
@@ -155,11 +170,14 @@
         ..QUOTA
     };
     ledger.configure(&tenants(low), now);
-    let refused = ledger.ask("r", &asked(100, 0), now);
+    let refused = ledger.decide("r", &asked(100, 0), now);
     assert!(matches!(refused, QuotaVerdict::Refused { .. }));
-    assert_eq!(ledger.ask("r", &asked(20, 0), now), QuotaVerdict::Granted);
+    assert_eq!(
+        ledger.decide("r", &asked(20, 0), now),
+        QuotaVerdict::Granted
+    );
     ledger.configure(&[], now);
-    assert_eq!(ledger.ask("r", &asked(1, 0), now), QuotaVerdict::Unknown);
+    assert_eq!(ledger.decide("r", &asked(1, 0), now), QuotaVerdict::Unknown);
 }
 
 /// A router that is not heard goes on with its part; once it is heard again, what it
@@ -186,40 +204,40 @@
     let now = Timestamp(1_000);
     let mut ledger = ledger(7, now);
     let mut router = RouterQuotas::new(SETTINGS, 2);
-    router.set_standings(7, ledger.standings(now), now);
+    router.set_account_statuses(7, ledger.account_statuses(now), now);
     let step = router.decide(&request(1_300, 1), true, 0.5, now);
     assert_eq!(step, QuotaStep::Admit);
     let (epoch, uses) = router.take_report(now);
     assert_eq!((epoch, uses.len(), uses[0].units), (7, 1, 1_300));
     assert!(router.take_report(now).1.is_empty(), "told once");
     ledger.report("r", epoch, &uses, now);
-    assert!(ledger.take_turned(), "guarded from now on");
-    router.set_standings(7, ledger.standings(now), now);
+    assert!(ledger.take_status_changed(), "guarded from now on");
+    router.set_account_statuses(7, ledger.account_statuses(now), now);
     let step = router.decide(&request(700, 1), true, 0.5, now);
-    assert_eq!(step, QuotaStep::Ask);
+    assert_eq!(step, QuotaStep::Query);
     router.refused(&asked(700, 1), Millis(1_000), now);
     let refused = router.decide(&request(800, 1), true, 0.5, now);
     assert!(matches!(refused, QuotaStep::Refuse { .. }), "no question");
     let smaller = router.decide(&request(100, 1), true, 0.5, now);
-    assert_eq!(smaller, QuotaStep::Ask);
+    assert_eq!(smaller, QuotaStep::Query);
     let more_urgent = router.decide(&request(700, 0), true, 0.5, now);
-    assert_eq!(more_urgent, QuotaStep::Ask);
+    assert_eq!(more_urgent, QuotaStep::Query);
     let later = now + Millis(1_000);
     let again = router.decide(&request(700, 1), true, 0.5, later);
-    assert_eq!(again, QuotaStep::Ask);
+    assert_eq!(again, QuotaStep::Query);
 }
 
 #[test]
 fn what_did_not_run_is_given_back() {
     let now = Timestamp(1_000);
     let mut router = RouterQuotas::new(SETTINGS, 2);
-    router.set_standings(7, Vec::new(), now);
+    router.set_account_statuses(7, Vec::new(), now);
     router.decide(&request(400, 1), true, 0.5, now);
-    router.give_back("t", 400, now, now);
+    router.refund("t", 400, now, now);
     assert!(router.take_report(now).1.is_empty(), "nothing to tell");
     router.granted(&request(300, 1), now);
     assert!(router.take_report(now).1.is_empty(), "the leader knows");
-    router.give_back("t", 300, now, now);
+    router.refund("t", 300, now, now);
     let (_, uses) = router.take_report(now);
     assert_eq!(uses[0].units, -300);
 }
@@ -230,12 +248,12 @@
 fn another_leader_is_told_anew() {
     let now = Timestamp(1_000);
     let mut router = RouterQuotas::new(SETTINGS, 2);
-    router.set_standings(7, Vec::new(), now);
+    router.set_account_statuses(7, Vec::new(), now);
     router.decide(&request(400, 1), true, 0.5, now);
     router.take_report(now);
     router.granted(&request(300, 1), now);
     let later = now + Millis(3_000);
-    router.set_standings(8, Vec::new(), later);
+    router.set_account_statuses(8, Vec::new(), later);
     let (epoch, uses) = router.take_report(later);
     assert_eq!((epoch, uses[0].units, uses[0].age), (8, 700, Millis(2_000)));
 }
--- a/crates/services/tests/quota_fleet/mod.rs
+++ b/crates/services/tests/quota_fleet/mod.rs
@@ -3,7 +3,7 @@
 
 use courseshunt_services::quota::history::History;
 use courseshunt_services::{
-    LimitedRequest, Quota, QuotaAsk, QuotaLedger, QuotaSettings, QuotaStep, QuotaVerdict,
+    LimitedRequest, Quota, QuotaLedger, QuotaQuery, QuotaSettings, QuotaStep, QuotaVerdict,
     RouterQuotas, Tenant,
 };
 use courseshunt_types::{Millis, Timestamp};
@@ -344,9 +344,9 @@
         if fleet.leaderless.is_some_and(|(_, to)| now == to) {
             ledger = new_ledger(2, at);
         }
-        let tells = ledger.take_turned() || now.is_multiple_of(STANDINGS_INTERVAL);
+        let tells = ledger.take_status_changed() || now.is_multiple_of(STANDINGS_INTERVAL);
         let standings = if tells {
-            ledger.standings(at)
+            ledger.account_statuses(at)
         } else {
             Vec::new()
         };
@@ -367,10 +367,12 @@
             router.heard = now;
             if tells || begins {
                 let standings = match begins {
-                    true => ledger.standings(at),
+                    true => ledger.account_statuses(at),
                     false => standings.clone(),
                 };
-                router.quotas.set_standings(ledger.epoch(), standings, at);
+                router
+                    .quotas
+                    .set_account_statuses(ledger.epoch(), standings, at);
             }
             if (now + number as u64).is_multiple_of(REPORT_INTERVAL) {
                 let (epoch, uses) = router.quotas.take_report(at);
@@ -392,20 +394,20 @@
             admitted[next] = match step {
                 QuotaStep::Admit => true,
                 QuotaStep::Refuse { .. } => false,
-                QuotaStep::Ask if !router.session => {
-                    let step = router.quotas.decide_alone(&limited, draw, at);
+                QuotaStep::Query if !router.session => {
+                    let step = router.quotas.decide_without_leader(&limited, draw, at);
                     step == QuotaStep::Admit
                 }
-                QuotaStep::Ask => {
+                QuotaStep::Query => {
                     asks += 1;
                     let then = Timestamp::at(now + DELAY);
-                    let ask = QuotaAsk {
+                    let ask = QuotaQuery {
                         number: asks,
                         tenant: TENANT.to_owned(),
                         units: limited.units,
                         rank: limited.rank,
                     };
-                    match ledger.ask(&router.name, &ask, then) {
+                    match ledger.decide(&router.name, &ask, then) {
                         QuotaVerdict::Granted => {
                             router.quotas.granted(&limited, at);
                             true
--- a/crates/services/tests/selection.rs
+++ b/crates/services/tests/selection.rs
@@ -265,7 +265,7 @@
     let first = send(&mut selector, NOW);
     let beside = send(&mut selector, NOW + Millis(1));
     for one in [&first, &beside] {
-        selector.turned_away(one);
+        selector.rejected(one);
         selector.end(one, false);
     }
     let second = send(&mut selector, NOW + Millis(10));
@@ -275,9 +275,9 @@
     selector.end(&second, true);
     let third = send(&mut selector, NOW + Millis(20));
     let fourth = send(&mut selector, NOW + Millis(30));
-    selector.turned_away(&third);
+    selector.rejected(&third);
     selector.end(&third, false);
-    selector.turned_away(&fourth);
+    selector.rejected(&fourth);
     selector.end(&fourth, false);
     let fifth = send(&mut selector, NOW + Millis(40));
     assert_eq!(fifth.uncached_tokens, 0);
@@ -297,16 +297,16 @@
     let a = RunnerId::from("a");
     let mut now = NOW;
     for length in [200, 400, 800, 1_600, 3_200, 3_200] {
-        selector.lacks(&a, &wanted, now);
+        selector.note_missing(&a, &wanted, now);
         let last = now + Millis(length) - Millis(1);
         assert!(!asks(&mut selector, &wanted, last), "{length}");
-        assert_eq!(selector.lacks_for(&a, &wanted, last), Some(Millis(1)));
+        assert_eq!(selector.missing_for(&a, &wanted, last), Some(Millis(1)));
         assert!(asks(&mut selector, &shape("m", None, 8), last));
         assert!(asks(&mut selector, &shape("n", None, 8), last));
         now = now + Millis(length);
         assert!(asks(&mut selector, &wanted, now), "{length}");
     }
-    selector.lacks(&a, &wanted, now);
-    selector.told_anew(&a);
+    selector.note_missing(&a, &wanted, now);
+    selector.models_updated(&a);
     assert!(asks(&mut selector, &wanted, now));
 }
