--- a/crates/services/src/instance_index.rs
+++ b/crates/services/src/instance_index.rs
@@ -1,29 +1,29 @@
-//! Which instances a request can go to, by service and model, so that a choice looks at
-//! those alone.
+//! Index of instances by service and model, so that selection visits only the instances that a
+//! request can be sent to.
 //!
-//! Invariant: it holds the same views as the [`crate::FedInstances`] that it belongs to, each
-//! list in the order of identities.
+//! Invariant: the index holds the same views as the [`crate::FedInstances`] that it belongs to,
+//! each list sorted by identity.
 //!
-//! Cost: a search in a sorted list for each model of a view that changes.
+//! Cost: a binary search in a sorted list for each model of a view that changes.
 
 use crate::instance::InstanceView;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Views in the order of their identities.
+/// Views sorted by identity.
 type Sorted = Vec<Arc<InstanceView>>;
 
 #[derive(Debug, Clone, Default)]
-struct OfService {
+struct ServiceIndex {
     all: Sorted,
     holders: HashMap<String, Sorted>,
     loaders: HashMap<String, Sorted>,
 }
 
-/// See the module.
+/// Views by service and model. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct InstanceIndex {
-    services: HashMap<String, OfService>,
+    services: HashMap<String, ServiceIndex>,
 }
 
 impl InstanceIndex {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Removes a view that was put in.
+    /// Removes a view that was inserted before.
     pub(crate) fn remove(&mut self, view: &InstanceView) {
         let Some(service) = self.services.get_mut(&view.service) else {
             return;
@@ -64,14 +64,14 @@
         service.map_or(&[], |service| &service.all)
     }
 
-    /// Instances that hold a model.
+    /// Instances of a service that hold a model.
     pub(crate) fn holders(&self, service: &str, model: &str) -> &[Arc<InstanceView>] {
         let service = self.services.get(service);
         let holders = service.and_then(|service| service.holders.get(model));
         holders.map_or(&[], |holders| holders)
     }
 
-    /// Instances that load a model.
+    /// Instances of a service that are loading a model.
     pub(crate) fn loaders(&self, service: &str, model: &str) -> &[Arc<InstanceView>] {
         let service = self.services.get(service);
         let loaders = service.and_then(|service| service.loaders.get(model));
@@ -81,14 +81,14 @@
 
 fn insert(list: &mut Sorted, view: &Arc<InstanceView>) {
     match list.binary_search_by(|one| one.id.cmp(&view.id)) {
-        Ok(place) => list[place] = view.clone(),
-        Err(place) => list.insert(place, view.clone()),
+        Ok(position) => list[position] = view.clone(),
+        Err(position) => list.insert(position, view.clone()),
     }
 }
 
 fn remove(list: &mut Sorted, view: &InstanceView) {
-    if let Ok(place) = list.binary_search_by(|one| one.id.cmp(&view.id)) {
-        list.remove(place);
+    if let Ok(position) = list.binary_search_by(|one| one.id.cmp(&view.id)) {
+        list.remove(position);
     }
 }
 
--- a/crates/services/src/limit/ledger.rs
+++ b/crates/services/src/limit/ledger.rs
@@ -1,110 +1,110 @@
-//! The leader's accounts of limits that instances name.
+//! The leader's accounts of rate limits that instances report.
 //!
-//! Invariant: the newest word on an instance holds, whoever heard it; a grant is counted
-//! before it is told.
+//! Invariant: the newest report about an instance is in force, whichever router received it; a
+//! grant is counted before it is sent.
 
-use super::{LIFTED_KEPT, LimitQuery, LimitReport, LimitVerdict, RequestRate};
+use super::{LimitQuery, LimitReport, LimitVerdict, REMOVAL_RETENTION, RequestRate};
 use crate::token_bucket::TokenBucket;
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use std::collections::BTreeMap;
 
 #[derive(Debug)]
 struct Account {
-    /// None once the instance names no limit any more.
+    /// `None` once the instance reports no limit any more.
     rate: Option<RequestRate>,
-    named_at: Timestamp,
+    reported_at: Timestamp,
     grants: TokenBucket,
 }
 
 impl Account {
-    fn is_over(&self, now: Timestamp) -> bool {
-        self.rate.is_none() && now.since(self.named_at) > LIFTED_KEPT
+    fn is_expired(&self, now: Timestamp) -> bool {
+        self.rate.is_none() && now.since(self.reported_at) > REMOVAL_RETENTION
     }
 }
 
-/// See the module.
+/// Accounts by instance. See the module documentation.
 #[derive(Debug, Default)]
 pub struct LimitLedger {
     accounts: BTreeMap<RunnerId, Account>,
-    has_news: bool,
+    has_changed_limits: bool,
 }
 
 impl LimitLedger {
-    /// Takes a word over that a router heard, unless a newer one is known; returns whether
-    /// it changes anything.
-    pub fn note(&mut self, word: &LimitReport, now: Timestamp) -> bool {
-        let named_at = now - word.age;
-        let Some(account) = self.accounts.get_mut(&word.instance) else {
-            self.open(word, named_at, now);
+    /// Applies a report that a router received, unless a newer one is in force; returns whether it
+    /// changes a limit.
+    pub fn note(&mut self, report: &LimitReport, now: Timestamp) -> bool {
+        let reported_at = now - report.age;
+        let Some(account) = self.accounts.get_mut(&report.instance) else {
+            self.open(report, reported_at, now);
             return true;
         };
-        if named_at < account.named_at {
+        if reported_at < account.reported_at {
             return false;
         }
-        account.named_at = named_at;
-        let before = std::mem::replace(&mut account.rate, word.rate);
-        if before == word.rate {
+        account.reported_at = reported_at;
+        let previous = std::mem::replace(&mut account.rate, report.rate);
+        if previous == report.rate {
             return false;
         }
-        if let Some(rate) = word.rate {
+        if let Some(rate) = report.rate {
             let full = rate.account(now);
             account.grants.resize(full.rate(), full.capacity(), now);
         }
-        self.has_news = true;
+        self.has_changed_limits = true;
         true
     }
 
-    fn open(&mut self, word: &LimitReport, named_at: Timestamp, now: Timestamp) {
-        let rate = word.rate.unwrap_or(RequestRate(0));
+    fn open(&mut self, report: &LimitReport, reported_at: Timestamp, now: Timestamp) {
+        let rate = report.rate.unwrap_or(RequestRate(0));
         let account = Account {
-            rate: word.rate,
-            named_at,
+            rate: report.rate,
+            reported_at,
             grants: rate.account(now),
         };
-        self.accounts.insert(word.instance.clone(), account);
-        self.has_news = true;
+        self.accounts.insert(report.instance.clone(), account);
+        self.has_changed_limits = true;
     }
 
-    /// Decides on one request of a router.
-    pub fn decide(&mut self, ask: &LimitQuery, now: Timestamp) -> LimitVerdict {
-        self.note(&ask.report, now);
-        let Some(account) = self.accounts.get_mut(&ask.report.instance) else {
+    /// Decides on one request of a router, and counts it if it is granted.
+    pub fn decide(&mut self, query: &LimitQuery, now: Timestamp) -> LimitVerdict {
+        self.note(&query.report, now);
+        let Some(account) = self.accounts.get_mut(&query.report.instance) else {
             return LimitVerdict::Unknown;
         };
         if account.rate.is_none() {
             return LimitVerdict::Granted { after: Millis(0) };
         }
         let wait = account.grants.time_until(1.0, now);
-        if wait > ask.max_wait {
+        if wait > query.max_wait {
             return LimitVerdict::Refused { fits_after: wait };
         }
         account.grants.charge(1.0, now);
         LimitVerdict::Granted { after: wait }
     }
 
-    /// Whether there is a word that was not told yet.
+    /// Whether a limit has changed since the last [`Self::take_changes`].
     #[must_use]
     pub fn has_changes(&self) -> bool {
-        self.has_news
+        self.has_changed_limits
     }
 
-    /// Whether a word is new since the last call.
+    /// Whether a limit has changed since the last call; clears the mark.
     pub fn take_changes(&mut self) -> bool {
-        std::mem::take(&mut self.has_news)
+        std::mem::take(&mut self.has_changed_limits)
     }
 
-    /// All words that hold, and those that ended a limit a moment ago.
+    /// Reports of all limits in force, and of limits that were removed recently.
     #[must_use]
     pub fn reports(&self, now: Timestamp) -> Vec<LimitReport> {
-        let words = self.accounts.iter().map(|(instance, account)| LimitReport {
+        let reports = self.accounts.iter().map(|(instance, account)| LimitReport {
             instance: instance.clone(),
             rate: account.rate,
-            age: now.since(account.named_at),
+            age: now.since(account.reported_at),
         });
-        words.collect()
+        reports.collect()
     }
 
-    /// The limits that hold, in requests a second.
+    /// The limits in force, in requests per second.
     #[must_use]
     pub fn rates(&self) -> BTreeMap<RunnerId, f64> {
         let accounts = self.accounts.iter();
@@ -115,9 +115,10 @@
         rates.collect()
     }
 
-    /// Forgets instances that are gone, and limits that ended long ago.
+    /// Removes instances that no longer exist, and limits whose removal is older than
+    /// `REMOVAL_RETENTION`.
     pub fn retain(&mut self, exists: impl Fn(&RunnerId) -> bool, now: Timestamp) {
         self.accounts
-            .retain(|instance, account| exists(instance) && !account.is_over(now));
+            .retain(|instance, account| exists(instance) && !account.is_expired(now));
     }
 }
--- a/crates/services/src/limit/local.rs
+++ b/crates/services/src/limit/local.rs
@@ -1,160 +1,167 @@
-//! What a router knows of limits that instances name, and what it sends without a leader.
+//! A router's view of the rate limits that instances report, and the share that it sends without a
+//! leader.
 //!
-//! Invariant: an answer ends a limit only if its request was sent after the limit was last
-//! heard, so that an answer that was overtaken ends nothing.
+//! Invariant: an answer without a limit removes a limit only if its request was sent after the
+//! limit was last reported, so that an answer that was overtaken by a newer one removes nothing.
 
-use super::{LEAST_OWN_BURST, LIFTED_KEPT, LimitReport, LimitVerdict, RequestRate, account};
+use super::{LimitReport, LimitVerdict, MIN_LOCAL_BURST, REMOVAL_RETENTION, RequestRate, account};
 use crate::token_bucket::TokenBucket;
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use std::collections::HashMap;
 
-/// Instances whose word is kept at the most; the oldest goes first.
-const MAX_KEPT: usize = 16_384;
-/// Questions on one instance that are under way at once: those of so long at its rate, and
-/// one at least. All that wait for the same moment would ask at once without it.
-const ASKED_AT_ONCE_S: f64 = 0.1;
-/// A question is answered within this time, about.
-const ANSWER_TIME: Millis = Millis(10);
-/// Shortest time for which a refusal is remembered.
-const LEAST_WAIT: Millis = Millis(10);
-/// Longest time for which a refusal without a leader is remembered: one may be back.
-const LONGEST_WAIT_ALONE: Millis = Millis(500);
-/// Part of an equal part that a router without a leader sends: the leader may grant all of
-/// the limit to others meanwhile.
-const ALONE_PART: f64 = 0.5;
-/// From so many requests a second on, a router's own part is an account instead of turns:
-/// one request of each router is little beside it.
-const OWN_ACCOUNT_FROM: f64 = 1.0;
-
-/// What an answer changed.
+/// Largest number of instances with a limit; the oldest entry is evicted first.
+const MAX_ENTRIES: usize = 16_384;
+/// Bounds the queries in flight for one instance to the requests that its rate admits in this
+/// time, in seconds, and to one at least. Without the bound, all requests that wait for the
+/// same moment would send a query at once.
+const QUERY_WINDOW_S: f64 = 0.1;
+/// Expected time in which the leader answers a query.
+const EXPECTED_QUERY_TIME: Millis = Millis(10);
+/// Shortest time for which a refusal is kept.
+const MIN_REFUSAL_TIME: Millis = Millis(10);
+/// Longest time for which a refusal without a leader is kept: a leader may be available again.
+const MAX_LOCAL_REFUSAL_TIME: Millis = Millis(500);
+/// Fraction of its equal share that a router sends without a leader: the leader may grant the
+/// whole limit to other routers meanwhile.
+const LOCAL_SHARE_FRACTION: f64 = 0.5;
+/// From this local share on, in requests per second, a router uses a token bucket instead of time
+/// slots: the initial request of each router is then small compared to the share.
+const MIN_BUCKET_SHARE: f64 = 1.0;
+
+/// Change of an instance's limit by an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitChange {
-    /// Nothing.
+    /// The limit is unchanged.
     None,
-    /// The instance names a limit, or another one than before.
+    /// The instance reports a limit, or another one than before.
     Reported(RequestRate),
-    /// It names none any more.
+    /// The instance reports no limit any more.
     Removed,
 }
 
-/// What to do with a request that was chosen for an instance.
+/// Next step for a request after an instance was selected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LimitStep {
-    /// The instance names no limit.
+    /// The instance reports no limit.
     Unlimited,
-    /// To ask the leader, telling it this; to be ended with [`RouterLimits::finish_query`].
+    /// Query the leader with this report, and end the query with
+    /// [`RouterLimits::finish_query`].
     Query(LimitReport),
-    /// To send it when its turn comes: the leader has granted it.
+    /// Send the request in its time slot: the leader has granted it.
     Granted {
-        /// Time until its turn.
+        /// Time until the time slot.
         after: Millis,
     },
-    /// To send it when its turn comes: it is within this router's own part.
+    /// Send the request in its time slot: it is within this router's local share.
     LocalShare {
-        /// Time until its turn.
+        /// Time until the time slot.
         after: Millis,
     },
-    /// Not to send it there now.
+    /// Don't send the request to this instance now.
     Refuse {
-        /// Time after which it may be tried again.
+        /// Time after which a request would be within the limit.
         fits_after: Millis,
     },
 }
 
 #[derive(Debug)]
-struct Word {
-    /// None once the instance names no limit any more.
+struct ReportedRate {
+    /// `None` once the instance reports no limit any more.
     rate: Option<RequestRate>,
-    named_at: Timestamp,
-    /// Whether the present leader knows.
-    told: bool,
-    /// Nobody is asked before.
-    waits_until: Timestamp,
-    /// When a request would fit, as it was told last.
+    reported_at: Timestamp,
+    /// Whether the current leader has this report.
+    is_reported: bool,
+    /// Until this time no query is sent, after a refusal.
+    refused_until: Timestamp,
+    /// When a request would fit, according to the last refusal.
     fits_at: Timestamp,
-    /// Questions under way.
-    asking: u32,
-    /// The last turn that was taken without a leader.
-    turn_at: Option<Timestamp>,
-    /// What is left of this router's own part.
-    own: Option<TokenBucket>,
+    /// Queries in flight.
+    queries_in_flight: u32,
+    /// The last time slot that was used without a leader.
+    last_slot_at: Option<Timestamp>,
+    /// Tokens of this router's local share.
+    local_share: Option<TokenBucket>,
 }
 
-impl Word {
-    fn new(rate: Option<RequestRate>, named_at: Timestamp, told: bool) -> Self {
+impl ReportedRate {
+    fn new(rate: Option<RequestRate>, reported_at: Timestamp, is_reported: bool) -> Self {
         Self {
             rate,
-            named_at,
-            told,
-            waits_until: Timestamp::default(),
+            reported_at,
+            is_reported,
+            refused_until: Timestamp::default(),
             fits_at: Timestamp::default(),
-            asking: 0,
-            turn_at: None,
-            own: None,
+            queries_in_flight: 0,
+            last_slot_at: None,
+            local_share: None,
         }
     }
 
-    fn is_over(&self, now: Timestamp) -> bool {
-        self.rate.is_none() && self.asking == 0 && now.since(self.named_at) > LIFTED_KEPT
+    fn is_expired(&self, now: Timestamp) -> bool {
+        self.rate.is_none()
+            && self.queries_in_flight == 0
+            && now.since(self.reported_at) > REMOVAL_RETENTION
     }
 
-    /// Time until a request fits into this router's own account; taken if it may wait so long.
-    fn account_wait(&mut self, part: f64, patience: Millis, now: Timestamp) -> Millis {
-        let full = account(part, LEAST_OWN_BURST, now);
-        let own = self.own.get_or_insert(full);
-        own.resize(full.rate(), full.capacity(), now);
-        let wait = own.time_until(1.0, now);
-        if wait <= patience {
-            own.charge(1.0, now);
+    /// Time until the token bucket of the local share admits a request; charges the request if it
+    /// may wait that long.
+    fn bucket_wait(&mut self, share: f64, max_wait: Millis, now: Timestamp) -> Millis {
+        let full = account(share, MIN_LOCAL_BURST, now);
+        let local_share = self.local_share.get_or_insert(full);
+        local_share.resize(full.rate(), full.capacity(), now);
+        let wait = local_share.time_until(1.0, now);
+        if wait <= max_wait {
+            local_share.charge(1.0, now);
         }
         wait
     }
 
-    /// Time until this router's next turn; taken if the request may wait so long.
-    fn turn_wait(&mut self, rounds: &Rounds, patience: Millis, now: Timestamp) -> Millis {
-        let turn = rounds.next_turn(self.turn_at, now);
-        let wait = turn.since(now);
-        if wait <= patience {
-            self.turn_at = Some(turn);
+    /// Time until this router's next free time slot; reserves it if the request may wait that
+    /// long.
+    fn slot_wait(&mut self, rounds: &Rounds, max_wait: Millis, now: Timestamp) -> Millis {
+        let slot = rounds.next_slot(self.last_slot_at, now);
+        let wait = slot.since(now);
+        if wait <= max_wait {
+            self.last_slot_at = Some(slot);
         }
         wait
     }
 
-    /// Whether as many questions are under way as may be at once.
-    fn asks_enough(&self) -> bool {
+    /// Whether the bound of queries in flight is reached.
+    fn is_query_bound_reached(&self) -> bool {
         let rate = self.rate.map_or(f64::MAX, RequestRate::granted_per_second);
-        f64::from(self.asking) >= (rate * ASKED_AT_ONCE_S).max(1.0)
+        f64::from(self.queries_in_flight) >= (rate * QUERY_WINDOW_S).max(1.0)
     }
 
-    /// Takes over another limit than before. What was taken of this router's own part stays
-    /// taken: a number may change with each answer.
+    /// Sets another limit than before. The use of the local share stays counted, because the
+    /// limit may change with each answer.
     fn change(&mut self, rate: Option<RequestRate>) {
         self.rate = rate;
-        self.waits_until = Timestamp::default();
+        self.refused_until = Timestamp::default();
     }
 }
 
-/// Time without a leader: rounds, and in each a turn for each router. One request may be sent
-/// in a router's turn; what is not used is lost, so that routers that were idle don't all send
-/// at once.
+/// Schedule without a leader: time is divided into rounds, and each round has one time slot per
+/// router. A router may send one request in its slot. Unused slots are lost, so that routers
+/// that were idle don't all send at once.
 struct Rounds {
     round_ms: f64,
-    turn_ms: f64,
-    /// Where this router's turns begin, as a part of a round.
+    slot_ms: f64,
+    /// Offset of this router's time slots, as a fraction of a round.
     phase: f64,
 }
 
 impl Rounds {
     fn of(rate: RequestRate, routers: u32, phase: f64) -> Self {
-        let turn_ms = 1_000.0 / (rate.granted_per_second() * ALONE_PART);
+        let slot_ms = 1_000.0 / (rate.granted_per_second() * LOCAL_SHARE_FRACTION);
         Self {
-            round_ms: turn_ms * f64::from(routers),
-            turn_ms,
+            round_ms: slot_ms * f64::from(routers),
+            slot_ms,
             phase,
         }
     }
 
-    /// Number of the round in which a moment lies.
+    /// Number of the round that contains a time.
     fn round_of(&self, at: Timestamp) -> f64 {
         (at.0 as f64 / self.round_ms + self.phase).floor()
     }
@@ -163,239 +170,251 @@
         (round - self.phase) * self.round_ms
     }
 
-    /// The next moment in a turn that is not taken.
-    fn next_turn(&self, taken: Option<Timestamp>, now: Timestamp) -> Timestamp {
-        let present = self.round_of(now);
-        let taken = taken.map(|at| self.round_of(at));
-        let in_turn = (now.0 as f64) < self.begin_of(present) + self.turn_ms;
-        if in_turn && taken.is_none_or(|taken| taken < present) {
+    /// Earliest time in a time slot of this router that is not used; `last_used` is the last one that
+    /// is used.
+    fn next_slot(&self, last_used: Option<Timestamp>, now: Timestamp) -> Timestamp {
+        let current = self.round_of(now);
+        let last_used = last_used.map(|at| self.round_of(at));
+        let in_slot = (now.0 as f64) < self.begin_of(current) + self.slot_ms;
+        if in_slot && last_used.is_none_or(|last_used| last_used < current) {
             return now;
         }
-        let next = taken.map_or(present, |taken| taken.max(present)) + 1.0;
+        let next = last_used.map_or(current, |last_used| last_used.max(current)) + 1.0;
         Timestamp(self.begin_of(next).ceil() as i64)
     }
 }
 
-/// See the module.
+/// Rate limits of all instances, at one router. See the module documentation.
 #[derive(Debug)]
 pub struct RouterLimits {
-    words: HashMap<RunnerId, Word>,
-    /// Where this router's turns lie among those of all routers, from 0 to 1.
+    entries: HashMap<RunnerId, ReportedRate>,
+    /// Offset of this router's time slots in a round, from 0 to 1.
     phase: f64,
     routers: u32,
 }
 
 impl RouterLimits {
-    /// No limit is known. `phase`, from 0 to 1, is this router's own.
+    /// Starts without limits. `phase`, from 0 to 1, should differ between routers.
     #[must_use]
     pub fn new(phase: f64) -> Self {
         Self {
-            words: HashMap::new(),
+            entries: HashMap::new(),
             phase,
             routers: 1,
         }
     }
 
-    /// Takes over how many routers there are, this one included.
+    /// Sets the number of routers, including this one.
     pub fn set_routers(&mut self, routers: u32) {
         self.routers = routers.max(1);
     }
 
-    /// Takes note of what an answer says, or does not say, to a request that was sent at
-    /// `asked_at`.
+    /// Records the limit in an answer, or its absence, for a request that was sent at
+    /// `sent_at`.
     pub fn observe(
         &mut self,
         instance: &RunnerId,
         rate: Option<RequestRate>,
-        asked_at: Timestamp,
+        sent_at: Timestamp,
         now: Timestamp,
     ) -> LimitChange {
-        let known = self.words.get_mut(instance);
-        match (known, rate) {
+        let entry = self.entries.get_mut(instance);
+        match (entry, rate) {
             (None, None) => LimitChange::None,
             (None, Some(rate)) => {
-                self.keep(instance, Word::new(Some(rate), now, false), now);
+                self.insert(instance, ReportedRate::new(Some(rate), now, false), now);
                 LimitChange::Reported(rate)
             }
-            (Some(word), Some(rate)) => {
-                word.named_at = now;
-                if word.rate == Some(rate) {
+            (Some(entry), Some(rate)) => {
+                entry.reported_at = now;
+                if entry.rate == Some(rate) {
                     return LimitChange::None;
                 }
-                word.change(Some(rate));
-                word.told = false;
+                entry.change(Some(rate));
+                entry.is_reported = false;
                 LimitChange::Reported(rate)
             }
-            (Some(word), None) => {
-                if word.rate.is_none() || asked_at < word.named_at {
+            (Some(entry), None) => {
+                if entry.rate.is_none() || sent_at < entry.reported_at {
                     return LimitChange::None;
                 }
-                word.change(None);
-                word.named_at = now;
-                word.told = false;
+                entry.change(None);
+                entry.reported_at = now;
+                entry.is_reported = false;
                 LimitChange::Removed
             }
         }
     }
 
-    /// Takes over what the leader tells that others heard later than this router; returns
-    /// the instances of which that is news.
+    /// Applies the reports that the leader published, where they are newer than those of this
+    /// router; returns those that changed a limit.
     pub fn apply_leader_reports(
         &mut self,
-        words: &[LimitReport],
+        reports: &[LimitReport],
         now: Timestamp,
     ) -> Vec<LimitReport> {
-        let mut news = Vec::new();
-        for told in words {
-            let named_at = now - told.age;
-            match self.words.get_mut(&told.instance) {
-                Some(word) if named_at <= word.named_at => continue,
-                Some(word) => {
-                    word.named_at = named_at;
-                    word.told = true;
-                    if word.rate == told.rate {
+        let mut changed = Vec::new();
+        for published in reports {
+            let reported_at = now - published.age;
+            match self.entries.get_mut(&published.instance) {
+                Some(entry) if reported_at <= entry.reported_at => continue,
+                Some(entry) => {
+                    entry.reported_at = reported_at;
+                    entry.is_reported = true;
+                    if entry.rate == published.rate {
                         continue;
                     }
-                    word.change(told.rate);
+                    entry.change(published.rate);
                 }
-                None if told.rate.is_none() => continue,
-                None => self.keep(&told.instance, Word::new(told.rate, named_at, true), now),
+                None if published.rate.is_none() => continue,
+                None => self.insert(
+                    &published.instance,
+                    ReportedRate::new(published.rate, reported_at, true),
+                    now,
+                ),
             }
-            news.push(told.clone());
+            changed.push(published.clone());
         }
-        news
+        changed
     }
 
-    /// What the leader has to be told.
+    /// Takes the reports that have not been sent to the leader yet.
     pub fn take_unreported(&mut self, now: Timestamp) -> Vec<LimitReport> {
-        let untold = self.words.iter_mut().filter(|(_, word)| !word.told);
-        let untold = untold.map(|(instance, word)| {
-            word.told = true;
-            word_of(instance, word, now)
+        let unreported = self
+            .entries
+            .iter_mut()
+            .filter(|(_, entry)| !entry.is_reported);
+        let unreported = unreported.map(|(instance, entry)| {
+            entry.is_reported = true;
+            report_of(instance, entry, now)
         });
-        untold.collect()
+        unreported.collect()
     }
 
-    /// Another leader has to be told all, and may be asked at once.
+    /// Marks all reports as not sent, after a change of leader, and allows queries at once.
     pub fn mark_all_unreported(&mut self) {
-        for word in self.words.values_mut() {
-            word.told = false;
-            word.waits_until = Timestamp::default();
+        for entry in self.entries.values_mut() {
+            entry.is_reported = false;
+            entry.refused_until = Timestamp::default();
         }
     }
 
-    /// The limit that an instance names.
+    /// The limit that an instance reports.
     #[must_use]
     pub fn limit_of(&self, instance: &RunnerId) -> Option<RequestRate> {
-        self.words.get(instance)?.rate
+        self.entries.get(instance)?.rate
     }
 
-    /// When an instance that is not to be tried now is expected to take a request; none: it may
-    /// be tried.
+    /// Expected time until an instance accepts a request; `None` if a request may be tried now.
     #[must_use]
     pub fn blocked_for(&self, instance: &RunnerId, now: Timestamp) -> Option<Millis> {
-        let word = self.words.get(instance)?;
-        word.rate?;
-        if now < word.waits_until {
-            return Some(word.fits_at.since(now).max(LEAST_WAIT));
+        let entry = self.entries.get(instance)?;
+        entry.rate?;
+        if now < entry.refused_until {
+            return Some(entry.fits_at.since(now).max(MIN_REFUSAL_TIME));
         }
-        word.asks_enough().then_some(ANSWER_TIME)
+        entry
+            .is_query_bound_reached()
+            .then_some(EXPECTED_QUERY_TIME)
     }
 
-    /// Whether a request may ask for a turn that comes later.
+    /// Whether a query for a later time slot may be sent.
     #[must_use]
     pub fn may_query(&self, instance: &RunnerId) -> bool {
-        let word = self.words.get(instance);
-        word.is_none_or(|word| !word.asks_enough())
+        let entry = self.entries.get(instance);
+        entry.is_none_or(|entry| !entry.is_query_bound_reached())
     }
 
-    /// What to do with a request for an instance, which may wait so long for its turn. `led`
-    /// tells whether a leader can be asked.
+    /// Next step for a request to an instance, which may wait up to `max_wait` for its time slot.
+    /// `has_leader` states whether a leader can be queried.
     pub fn step(
         &mut self,
         instance: &RunnerId,
-        patience: Millis,
-        led: bool,
+        max_wait: Millis,
+        has_leader: bool,
         now: Timestamp,
     ) -> LimitStep {
-        if !led {
-            return self.step_without_leader(instance, patience, now);
+        if !has_leader {
+            return self.step_without_leader(instance, max_wait, now);
         }
-        match self.words.get_mut(instance) {
-            Some(word) if word.rate.is_some() => {
-                word.asking += 1;
-                LimitStep::Query(word_of(instance, word, now))
+        match self.entries.get_mut(instance) {
+            Some(entry) if entry.rate.is_some() => {
+                entry.queries_in_flight += 1;
+                LimitStep::Query(report_of(instance, entry, now))
             }
             Some(_) | None => LimitStep::Unlimited,
         }
     }
 
-    /// Notes the end of a question, with the leader's answer if it came.
+    /// Records the end of a query, with the leader's verdict if one came.
     pub fn finish_query(
         &mut self,
         instance: &RunnerId,
         verdict: Option<LimitVerdict>,
         now: Timestamp,
     ) {
-        let Some(word) = self.words.get_mut(instance) else {
+        let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        word.asking = word.asking.saturating_sub(1);
+        entry.queries_in_flight = entry.queries_in_flight.saturating_sub(1);
         if let Some(LimitVerdict::Refused { fits_after }) = verdict {
-            word.waits_until = now.surely_after(fits_after.max(LEAST_WAIT));
-            word.fits_at = word.waits_until;
+            entry.refused_until = now.surely_after(fits_after.max(MIN_REFUSAL_TIME));
+            entry.fits_at = entry.refused_until;
         }
     }
 
-    /// The same as [`Self::step`] without a leader.
+    /// Like [`Self::step`], without a leader: decides by this router's local share.
     pub fn step_without_leader(
         &mut self,
         instance: &RunnerId,
-        patience: Millis,
+        max_wait: Millis,
         now: Timestamp,
     ) -> LimitStep {
         let (routers, phase) = (self.routers, self.phase);
-        let limited = self.words.get_mut(instance);
-        let limited = limited.and_then(|word| Some((word.rate?, word)));
-        let Some((rate, word)) = limited else {
+        let limited = self.entries.get_mut(instance);
+        let limited = limited.and_then(|entry| Some((entry.rate?, entry)));
+        let Some((rate, entry)) = limited else {
             return LimitStep::Unlimited;
         };
-        let part = rate.granted_per_second() * ALONE_PART / f64::from(routers);
-        let wait = match part >= OWN_ACCOUNT_FROM {
-            true => word.account_wait(part, patience, now),
-            false => word.turn_wait(&Rounds::of(rate, routers, phase), patience, now),
+        let share = rate.granted_per_second() * LOCAL_SHARE_FRACTION / f64::from(routers);
+        let wait = match share >= MIN_BUCKET_SHARE {
+            true => entry.bucket_wait(share, max_wait, now),
+            false => entry.slot_wait(&Rounds::of(rate, routers, phase), max_wait, now),
         };
-        if wait <= patience {
+        if wait <= max_wait {
             return LimitStep::LocalShare { after: wait };
         }
-        word.waits_until = now + wait.clamp(LEAST_WAIT, LONGEST_WAIT_ALONE);
-        word.fits_at = now + wait;
+        entry.refused_until = now + wait.clamp(MIN_REFUSAL_TIME, MAX_LOCAL_REFUSAL_TIME);
+        entry.fits_at = now + wait;
         LimitStep::Refuse { fits_after: wait }
     }
 
-    /// Forgets instances that are gone.
+    /// Removes instances that no longer exist.
     pub fn retain(&mut self, exists: impl Fn(&RunnerId) -> bool) {
-        self.words.retain(|instance, _| exists(instance));
+        self.entries.retain(|instance, _| exists(instance));
     }
 
-    fn keep(&mut self, instance: &RunnerId, word: Word, now: Timestamp) {
-        if self.words.len() >= MAX_KEPT {
-            self.words.retain(|_, word| !word.is_over(now));
+    fn insert(&mut self, instance: &RunnerId, entry: ReportedRate, now: Timestamp) {
+        if self.entries.len() >= MAX_ENTRIES {
+            self.entries.retain(|_, entry| !entry.is_expired(now));
         }
-        if self.words.len() >= MAX_KEPT {
-            let oldest = self.words.iter().min_by_key(|(_, word)| word.named_at);
+        if self.entries.len() >= MAX_ENTRIES {
+            let oldest = self
+                .entries
+                .iter()
+                .min_by_key(|(_, entry)| entry.reported_at);
             if let Some(oldest) = oldest.map(|(instance, _)| instance.clone()) {
-                self.words.remove(&oldest);
+                self.entries.remove(&oldest);
             }
         }
-        self.words.insert(instance.clone(), word);
+        self.entries.insert(instance.clone(), entry);
     }
 }
 
-fn word_of(instance: &RunnerId, word: &Word, now: Timestamp) -> LimitReport {
+fn report_of(instance: &RunnerId, entry: &ReportedRate, now: Timestamp) -> LimitReport {
     LimitReport {
         instance: instance.clone(),
-        rate: word.rate,
-        age: now.since(word.named_at),
+        rate: entry.rate,
+        age: now.since(entry.reported_at),
     }
 }
--- a/crates/services/src/limit/mod.rs
+++ b/crates/services/src/limit/mod.rs
@@ -1,14 +1,14 @@
-//! Limits that instances name in their answers: the requests a second that one takes from
-//! all routers together, for as long as it says so.
+//! Rate limits that instances report in their answers: the requests per second that one instance
+//! accepts from all routers together, until it reports another limit or none.
 //!
-//! The leader keeps one account for each instance that names a limit, and routers ask it for
-//! each request that they would send there, naming how long the request may wait. So the
-//! limit is divided by who needs it, and requests that wait have their turns in the order in
-//! which they asked. See [`ledger`] for the leader's side and [`local`] for a router's.
+//! The leader keeps one account for each instance that reports a limit. A router queries the
+//! leader for each request to such an instance and states how long the request may wait. The
+//! limit is thus divided by demand, and waiting requests get their time slots in the order of
+//! their queries. See [`ledger`] for the leader's side and [`local`] for a router's.
 //!
-//! Invariant: in any time `t`, what all routers that know of a limit send sums up to at most
-//! the rate times `t` and what the account holds; routers that don't reach the leader send
-//! at most half of their equal parts beyond that.
+//! Invariant: in any time `t`, all routers that have received a limit send at most the rate times
+//! `t` plus the capacity of the account; routers without contact to the leader send at most half
+//! of their equal shares beyond that.
 
 pub mod ledger;
 pub mod local;
@@ -16,21 +16,21 @@
 use crate::token_bucket::TokenBucket;
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 
-/// An account holds what flows in in so many seconds.
+/// Capacity of an account, as the time in which it fills, in seconds.
 pub const BURST_S: f64 = 0.25;
-/// The leader's account holds so many requests at least: with one alone, a quarter of a small
-/// limit is lost between requests that can't wait.
-pub(crate) const LEAST_BURST: f64 = 2.0;
-/// A router's own account holds so many at least.
-pub(crate) const LEAST_OWN_BURST: f64 = 1.0;
-/// An instance that names a smaller limit, or none at all, is sent so many requests a second
-/// all the same: nothing else would show that the limit has ended.
-pub const LEAST_PER_SECOND: f64 = 0.1;
-/// That an instance names no limit any more is remembered for so long: an older word of the
-/// limit may still be on its way.
-pub(crate) const LIFTED_KEPT: Millis = Millis(10_000);
+/// Smallest capacity of the leader's account, in requests: with a capacity of one request, a
+/// quarter of a small limit is lost between requests that can't wait.
+pub(crate) const MIN_BURST: f64 = 2.0;
+/// Smallest capacity of a router's local account, in requests.
+pub(crate) const MIN_LOCAL_BURST: f64 = 1.0;
+/// Requests per second that are sent to an instance even if its limit is lower or zero:
+/// without answers, routers could not detect that the limit has ended.
+pub const MIN_PER_SECOND: f64 = 0.1;
+/// Time for which the removal of a limit is remembered: an older report of the limit may still
+/// be in transit.
+pub(crate) const REMOVAL_RETENTION: Millis = Millis(10_000);
 
-/// Requests in a thousand seconds.
+/// A rate in requests per 1,000 seconds.
 #[derive(
     Debug,
     Clone,
@@ -46,85 +46,86 @@
 pub struct RequestRate(pub u64);
 
 impl RequestRate {
-    /// A rate in requests a second; none for what is no rate: negative, endless, no number.
+    /// Converts from requests per second; `None` if `rate` is negative, infinite or not a number.
     #[must_use]
     pub fn per_second(rate: f64) -> Option<Self> {
         (rate.is_finite() && rate >= 0.0).then_some(Self((rate * 1_000.0) as u64))
     }
 
-    /// Requests a second that are sent.
+    /// Requests per second that are sent under this limit, at least [`MIN_PER_SECOND`].
     #[must_use]
     pub fn granted_per_second(self) -> f64 {
-        (self.0 as f64 / 1_000.0).max(LEAST_PER_SECOND)
+        (self.0 as f64 / 1_000.0).max(MIN_PER_SECOND)
     }
 
-    /// A full account of this rate.
+    /// A full account with this rate, for the leader.
     pub(crate) fn account(self, now: Timestamp) -> TokenBucket {
-        account(self.granted_per_second(), LEAST_BURST, now)
+        account(self.granted_per_second(), MIN_BURST, now)
     }
 }
 
-/// A full account of so many requests a second.
-pub(crate) fn account(per_second: f64, least_burst: f64, now: Timestamp) -> TokenBucket {
-    TokenBucket::full(per_second, (per_second * BURST_S).max(least_burst), now)
+/// A full account of `per_second` requests per second, with a capacity of `min_burst` at least.
+pub(crate) fn account(per_second: f64, min_burst: f64, now: Timestamp) -> TokenBucket {
+    TokenBucket::full(per_second, (per_second * BURST_S).max(min_burst), now)
 }
 
-/// What an answer names as the requests a second that its instance takes.
+/// The rate limit in an answer of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ReportedLimit {
-    /// Nothing.
+    /// The answer contains no limit.
     #[default]
     None,
-    /// What is no rate.
+    /// The answer contains a limit that is not a valid rate.
     Unreadable,
-    /// This, from all routers together.
+    /// The instance accepts this rate from all routers together.
     Rate(RequestRate),
 }
 
-/// What an instance said in an answer of the requests that it takes.
+/// Report of an instance's rate limit, taken from an answer of the instance.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct LimitReport {
     /// The instance.
     pub instance: RunnerId,
-    /// From all routers together; none: it names no limit any more.
+    /// Limit for all routers together; `None` if the instance reports no limit any more.
     pub rate: Option<RequestRate>,
-    /// How long ago.
+    /// Time since the answer.
     pub age: Millis,
 }
 
-/// A router asks whether it may send one request.
+/// Query of a router to the leader whether it may send one request.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct LimitQuery {
-    /// Number of the question, unique at the router.
+    /// Number of the query, unique at the router.
     pub number: u64,
-    /// Where to, and what the router knows of it: a new leader knows nothing.
+    /// The instance, and its limit as this router received it: a new leader starts without any
+    /// limits.
     pub report: LimitReport,
-    /// How long the request may wait for its turn.
+    /// Longest time that the request may wait for its time slot.
     pub max_wait: Millis,
 }
 
-/// The leader's answer.
+/// The leader's answer to a [`LimitQuery`].
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct LimitAnswer {
-    /// Number of the question.
+    /// Number of the query.
     pub number: u64,
-    /// What was decided.
+    /// The leader's decision.
     pub verdict: LimitVerdict,
 }
 
 /// A decision on one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum LimitVerdict {
-    /// It is within the limit, and counted.
+    /// The request is within the limit, and is counted.
     Granted {
-        /// Its turn comes after so long.
+        /// Time until its time slot.
         after: Millis,
     },
-    /// It is beyond the limit, and was not counted.
+    /// The request exceeds the limit, and is not counted.
     Refused {
-        /// Time after which a request would fit.
+        /// Time after which a request would be within the limit.
         fits_after: Millis,
     },
-    /// This leader can't tell.
+    /// This process can't decide: it is not in contact with a quorum, or has no account.
     Unknown,
 }
--- a/crates/services/src/quarantine/mod.rs
+++ b/crates/services/src/quarantine/mod.rs
@@ -1,66 +1,68 @@
-//! Requests that end the instances that run them.
+//! Quarantine of requests that terminate the instances that run them.
 //!
-//! A request may bring down each instance that begins to run it, with all other requests
-//! there. It comes again with another identity, at any router, so it is known by its
-//! content ([`RequestContent`](crate::RequestContent)). Routers tell the leader which
-//! contents were broken off by an instance that has ended; the leader counts the
-//! instances that ended under each, over all routers, and tells all routers which
-//! contents are in quarantine: those are sent to no instance. See [`ledger`] for the
-//! leader's side and [`local`] for a router's.
+//! A request may crash every instance that starts to run it, together with all other requests
+//! there. When it is repeated, it has another identity and may arrive at any router, so it is
+//! identified by its content ([`RequestContent`](crate::RequestContent)). Routers report to the
+//! leader which contents were in flight at an instance that terminated. The leader counts the
+//! terminated instances for each content over all routers, and notifies all routers of the
+//! contents in quarantine, which are sent to no instance. See [`ledger`] for the leader's side
+//! and [`local`] for a router's.
 //!
-//! Most of what an ending instance breaks off is sound. So an end counts for a content
-//! only until that content is answered: a router that has an answer to a suspected
-//! content, from just before its first end or later, says so, and nothing is left
-//! against it.
+//! Invariant: a content that is answered is neither suspected nor in quarantine. Most requests
+//! that are in flight at a terminating instance are harmless, so a termination counts against a
+//! content only until the content is answered: a router that has an answer to a suspected
+//! content, from shortly before the first termination or later, reports it, and all
+//! terminations are cleared.
 
 pub mod ledger;
 pub mod local;
 
 use courseshunt_types::{Digest, Millis, RunnerId, Timestamp};
 
-/// A content under which so many instances have ended, not all of them in one moment, is
-/// in quarantine.
+/// Number of instances that must terminate while running a content, not all of them at the same
+/// time, before the content is quarantined.
 pub const MAX_ENDS: usize = 3;
-/// Routers are told of contents under which so many have ended, so that they can vouch
-/// for them in time.
+/// Number of terminations from which a content is suspected. Routers are notified of suspected
+/// contents, so that they can report answers to them before a quarantine starts.
 const SUSPECTED_ENDS: usize = 2;
-/// An answer so long before the first end still speaks for a content: what is asked for
-/// often enough to be on three instances that fail together is answered more often.
-const SOUND_BEFORE: Millis = Millis(10_000);
-/// Instances that end so close together were perhaps lost for a common reason, and what
-/// many clients ask for at that time is on several of them: see [`weigh`].
-const MOMENT: Millis = Millis(60);
-/// Instances that count at the most of those that ended in one moment.
-const MOMENT_COUNTS: usize = MAX_ENDS - 1;
-/// Ends that nothing was added to for so long are forgotten.
-const REMEMBERED: Millis = Millis(3_600_000);
+/// An answer up to this time before the first termination still clears a content: a content that
+/// is requested often enough to run on three instances that fail together is answered more
+/// often than that.
+const ANSWER_VALID_BEFORE: Millis = Millis(10_000);
+/// Instances that terminate within this time of each other may have a common cause, and a content
+/// that many clients request at that time runs on several of them: see [`count_ends`].
+const COINCIDENCE: Millis = Millis(60);
+/// Largest number of terminations that count of those within one [`COINCIDENCE`].
+const MAX_COINCIDENT: usize = MAX_ENDS - 1;
+/// Time without further terminations after which those of a content are dropped.
+const RETENTION: Millis = Millis(3_600_000);
 
-/// An instance that ended while it had a request of this content.
+/// Termination of an instance while a request of this content was in flight there.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct InstanceEnd {
-    /// What the request asked.
+    /// Digest of the request's content.
     pub content: Digest,
-    /// The instance.
+    /// The instance that terminated.
     pub instance: RunnerId,
-    /// Time since then.
+    /// Time since the termination.
     pub age: Millis,
 }
 
-/// What instances that ended at these times count, in any order: those of one moment
-/// never reach a quarantine by themselves. Without that, the loss of a third of the fleet
-/// holds back sound requests that many had just begun to ask for.
-fn weigh(times: impl IntoIterator<Item = Timestamp>) -> usize {
+/// Number of terminations that count, given their times in any order. Terminations at the same
+/// time never cause a quarantine by themselves: otherwise the loss of a third of the fleet would
+/// quarantine harmless requests that many clients had just started to send.
+fn count_ends(times: impl IntoIterator<Item = Timestamp>) -> usize {
     let mut times: Vec<Timestamp> = times.into_iter().collect();
     times.sort_unstable();
-    let moments = times.chunk_by(|one, next| next.since(*one) < MOMENT);
-    moments.map(|moment| moment.len().min(MOMENT_COUNTS)).sum()
+    let groups = times.chunk_by(|one, next| next.since(*one) < COINCIDENCE);
+    groups.map(|group| group.len().min(MAX_COINCIDENT)).sum()
 }
 
-/// A content in quarantine, as it is kept durably.
+/// A content in quarantine, as it is stored durably.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct QuarantinedContent {
-    /// What the requests ask.
+    /// Digest of the requests' content.
     pub content: Digest,
-    /// How often it was put in quarantine.
+    /// How often it was quarantined.
     pub times: u32,
 }
--- a/crates/services/src/quota/history.rs
+++ b/crates/services/src/quota/history.rs
@@ -1,4 +1,6 @@
-//! What was used lately, in slots of time.
+//! Recent use of a quota, in time slots.
+//!
+//! Invariant: `sum` is the sum of the units of all slots.
 
 use courseshunt_types::{Millis, Timestamp};
 use std::collections::VecDeque;
@@ -6,16 +8,16 @@
 /// Use within one slot, in units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Slot {
-    /// When it began.
+    /// Start of the slot.
     at: Timestamp,
-    /// All that was used.
+    /// Units used in the slot.
     units: i64,
-    /// The part that the leader doesn't know of.
-    untold: i64,
+    /// Units that have not been reported to the leader.
+    unreported: i64,
 }
 
-/// Slots of the last window, the oldest first. Adding and summing up take a few
-/// steps, whatever the number of requests.
+/// Slots of the last window, oldest first. The cost of adding and summing does not depend on the
+/// number of requests.
 #[derive(Debug, Clone)]
 pub struct History {
     slot: Millis,
@@ -25,8 +27,8 @@
 }
 
 impl History {
-    /// Nothing was used yet. Use is forgotten a window after its slot of this length
-    /// has ended.
+    /// Creates an empty history with slots of the length `slot`. Use expires when `window` has
+    /// passed since the end of its slot.
     #[must_use]
     pub fn new(slot: Millis, window: Millis) -> Self {
         Self {
@@ -37,24 +39,24 @@
         }
     }
 
-    /// Adds use at a moment; `untold` is the part that the leader doesn't know of.
-    pub fn add(&mut self, units: i64, untold: i64, at: Timestamp) {
-        let begin = at.stretch_begin(self.slot);
-        let place = self.slots.partition_point(|slot| slot.at < begin);
-        if self.slots.get(place).is_none_or(|slot| slot.at != begin) {
+    /// Adds `units` used at a time; `unreported` of them have not been reported to the leader.
+    pub fn add(&mut self, units: i64, unreported: i64, at: Timestamp) {
+        let start = at.stretch_begin(self.slot);
+        let position = self.slots.partition_point(|slot| slot.at < start);
+        if self.slots.get(position).is_none_or(|slot| slot.at != start) {
             let slot = Slot {
-                at: begin,
+                at: start,
                 units: 0,
-                untold: 0,
+                unreported: 0,
             };
-            self.slots.insert(place, slot);
+            self.slots.insert(position, slot);
         }
-        self.slots[place].units += units;
-        self.slots[place].untold += untold;
+        self.slots[position].units += units;
+        self.slots[position].unreported += unreported;
         self.sum += units;
     }
 
-    /// Units used in the last window.
+    /// Units used in the last window; removes expired slots.
     pub fn sum(&mut self, now: Timestamp) -> i64 {
         while let Some(oldest) = self.slots.front() {
             if oldest.at + self.slot + self.window > now {
@@ -66,42 +68,43 @@
         self.sum
     }
 
-    /// Counts what was used as this part of it.
-    pub fn scale(&mut self, part: f64) {
+    /// Scales all use by a factor.
+    pub fn scale(&mut self, factor: f64) {
         for slot in &mut self.slots {
-            slot.units = (slot.units as f64 * part) as i64;
+            slot.units = (slot.units as f64 * factor) as i64;
         }
         self.sum = self.slots.iter().map(|slot| slot.units).sum();
     }
 
-    /// Time until so many of the units are forgotten; `None` when there are fewer.
+    /// Time until at least `units` have expired; `None` if the history has fewer.
     #[must_use]
     pub fn expires_after(&self, units: f64, now: Timestamp) -> Option<Millis> {
-        let mut forgotten = 0.0;
+        let mut expired = 0.0;
         let slots = self.slots.iter();
         let mut ends = slots.map(|slot| (slot.units, slot.at + self.slot + self.window));
         let (_, end) = ends.find(|(used, _)| {
-            forgotten += *used as f64;
-            forgotten >= units
+            expired += *used as f64;
+            expired >= units
         })?;
         Some(end.since(now))
     }
 
-    /// Marks all as not told: another leader has to learn of it.
+    /// Marks all use as unreported, after a change of leader.
     pub fn mark_all_unreported(&mut self) {
         for slot in &mut self.slots {
-            slot.untold = slot.units;
+            slot.unreported = slot.units;
         }
     }
 
-    /// Takes what has to be told, each with its age at least; empty slots are left out.
+    /// Takes the unreported units of each slot with the age of the slot's end, which is a lower
+    /// bound of the age of the use; slots without unreported units are omitted.
     pub fn take_unreported(&mut self, now: Timestamp) -> Vec<(i64, Millis)> {
         let length = self.slot;
-        let slots = self.slots.iter_mut().filter(|slot| slot.untold != 0);
-        let untold = slots.map(|slot| {
+        let slots = self.slots.iter_mut().filter(|slot| slot.unreported != 0);
+        let unreported = slots.map(|slot| {
             let age = now.since(slot.at + length);
-            (std::mem::take(&mut slot.untold), age)
+            (std::mem::take(&mut slot.unreported), age)
         });
-        untold.collect()
+        unreported.collect()
     }
 }
--- a/crates/services/src/quota/ledger.rs
+++ b/crates/services/src/quota/ledger.rs
@@ -1,9 +1,8 @@
-//! The leader's accounts of tenants.
+//! The leader's quota accounts of tenants.
 //!
-//! Invariant: in no window does an account grant more than its allowance, counted with
-//! all use that was told and with what routers that aren't heard may use; a grant is
-//! counted before it is told; use that is told is counted once in each epoch (a
-//! leadership), at the moment at which it happened.
+//! Invariant: an account never grants more than its allowance in a window, including all reported
+//! use and the assumed use of disconnected routers; a grant is counted before it is sent;
+//! reported use is counted once in each epoch (a leadership), at the time at which it occurred.
 
 use super::history::History;
 use super::{QuotaQuery, QuotaSettings, QuotaVerdict, TenantAccountStatus, TenantUse};
@@ -12,29 +11,30 @@
 use courseshunt_types::{Millis, Timestamp};
 use std::collections::BTreeMap;
 
-/// An account is guarded when less than this part of its allowance is left: a tenant
-/// that sends at six times its usual from one moment to the next is guarded before
-/// nothing is left, with the time that reports take.
-const GUARDED_BELOW: f64 = 0.3;
-/// A guarded account is free again when more than this part is left.
-const FREE_ABOVE: f64 = 0.4;
+/// An account is near its limit when less than this fraction of its allowance is left. A tenant
+/// whose load jumps to six times its usual is then detected before the allowance is used up, in
+/// spite of the delay of reports.
+const NEAR_LIMIT_BELOW: f64 = 0.3;
+/// An account is no longer near its limit when more than this fraction is left.
+const NOT_NEAR_LIMIT_ABOVE: f64 = 0.4;
 
-/// Exactness of an account.
+/// Resolution of an account's history.
 const ACCOUNT_SLOT: Millis = Millis(100);
-/// Use that lies further back doesn't slow a tenant down: it has made up for it.
-const PACED: Millis = Millis(1_000);
-/// Part of what goes at once that a request leaves free for each rank before its own: of
-/// a tenant that sends too much, the least urgent requests are refused first.
-const KEPT_FREE_PER_RANK: f64 = 0.2;
-/// Ranks after this are treated alike.
-const RANKS_TOLD_APART: u8 = 3;
-/// Exactness of what a single router used.
+/// Reported use that is older than this is not charged to the pace: the bucket would have refilled
+/// meanwhile.
+const MAX_PACED_AGE: Millis = Millis(1_000);
+/// Fraction of the pace's capacity that a request leaves free for each more urgent rank, so that
+/// the least urgent requests of a tenant over its quota are refused first.
+const RESERVED_PER_RANK: f64 = 0.2;
+/// Higher ranks are treated like this one.
+const MAX_RANK: u8 = 3;
+/// Resolution of a single router's history.
 const ROUTER_SLOT: Millis = Millis(1_000);
 
-/// One tenant's account. What was used in the last window bounds what is granted; a
-/// bucket that fills as fast as the allowance lasts spreads it over the window. Without
-/// that a tenant that sends too much gets all at a window's begin and nothing after:
-/// 1,400 units in a millisecond for two seconds, then 60, where 860 are granted.
+/// One tenant's account. Grants are bounded by the use in the last window; in addition, a token
+/// bucket that fills at the rate of the allowance paces them over the window. Without the pace, a
+/// tenant over its quota gets the whole allowance at the start of a window and nothing
+/// afterwards: 1,400 units per millisecond for two seconds, then 60, where 860 are granted.
 #[derive(Debug)]
 struct Account {
     quota: Quota,
@@ -42,32 +42,32 @@
     allowance: f64,
     history: History,
     pace: TokenBucket,
-    guarded: bool,
+    near_limit: bool,
 }
 
-/// A router that is not heard, and what it is taken to use meanwhile.
+/// A disconnected router, and the use that is assumed for it meanwhile.
 #[derive(Debug)]
-struct LostRouter {
+struct DisconnectedRouter {
     since: Timestamp,
-    /// Units a second, by tenant.
+    /// Assumed use by tenant, in units per second.
     rates: BTreeMap<String, f64>,
 }
 
-/// See the module.
+/// Quota accounts of all tenants. See the module documentation.
 #[derive(Debug)]
 pub struct QuotaLedger {
     epoch: u64,
     settings: QuotaSettings,
     accounts: BTreeMap<String, Account>,
-    /// What each router used lately, by tenant.
+    /// Recent use of each router, by tenant.
     routers: BTreeMap<String, BTreeMap<String, History>>,
-    lost: BTreeMap<String, LostRouter>,
-    turned: bool,
+    disconnected: BTreeMap<String, DisconnectedRouter>,
+    status_changed: bool,
 }
 
 impl QuotaLedger {
-    /// Accounts of which nothing was used; what was used under earlier leaders is
-    /// learnt from the routers' reports.
+    /// Creates accounts without any use; the use under earlier leaders is received with the
+    /// routers' reports.
     #[must_use]
     pub fn new(epoch: u64, settings: QuotaSettings) -> Self {
         Self {
@@ -75,41 +75,42 @@
             settings,
             accounts: BTreeMap::new(),
             routers: BTreeMap::new(),
-            lost: BTreeMap::new(),
-            turned: false,
+            disconnected: BTreeMap::new(),
+            status_changed: false,
         }
     }
 
-    /// The leadership that these accounts belong to.
+    /// The leadership (epoch) to which these accounts belong.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether any tenant has a limit.
+    /// Whether any tenant has a quota.
     #[must_use]
     pub fn has_accounts(&self) -> bool {
         !self.accounts.is_empty()
     }
 
-    /// Follows the declared limits. What was used stays counted; under a lower limit as
-    /// the same part of it, so that use that was allowed is not held against anybody.
+    /// Applies the configured quotas. Earlier use stays counted; under a lower quota it is scaled to
+    /// the same fraction, so that use that was allowed before does not exceed the new quota.
     pub fn configure(&mut self, tenants: &[Tenant], now: Timestamp) {
         let settings = self.settings;
-        let mut before = std::mem::take(&mut self.accounts);
+        let mut previous = std::mem::take(&mut self.accounts);
         for tenant in tenants {
             let Some(quota) = tenant.quota else { continue };
-            let account = match before.remove(&tenant.name) {
-                Some(known) => known.with_quota(quota, &settings, now),
+            let account = match previous.remove(&tenant.name) {
+                Some(account) => account.with_quota(quota, &settings, now),
                 None => Account::new(quota, &settings, now),
             };
             self.accounts.insert(tenant.name.clone(), account);
         }
-        self.look(now);
+        self.update_statuses(now);
     }
 
-    /// Takes a router's report for an epoch; one for another epoch is told anew.
-    /// Returns whether an account turned guarded or free and that is untold yet.
+    /// Applies a router's report for an epoch. A report for another epoch is ignored, because the
+    /// router sends the use again for this epoch. Returns whether the near-limit status of an
+    /// account has changed and is not published yet.
     pub fn report(&mut self, router: &str, epoch: u64, uses: &[TenantUse], now: Timestamp) -> bool {
         self.router_contacted(router);
         if epoch != self.epoch {
@@ -117,41 +118,41 @@
         }
         for one in uses {
             let at = now - one.age;
-            self.note(router, &one.tenant, one.units, at);
+            self.record(router, &one.tenant, one.units, at);
             if let Some(account) = self.accounts.get_mut(&one.tenant) {
                 account.count(one.units, at, now);
-                self.look_at(&one.tenant, now);
+                self.update_status(&one.tenant, now);
             }
         }
-        self.turned
+        self.status_changed
     }
 
-    /// Decides on one request of a router.
-    pub fn decide(&mut self, router: &str, ask: &QuotaQuery, now: Timestamp) -> QuotaVerdict {
+    /// Decides on one request of a router, and counts it if it is granted.
+    pub fn decide(&mut self, router: &str, query: &QuotaQuery, now: Timestamp) -> QuotaVerdict {
         let QuotaQuery {
             tenant,
             units,
             rank,
             ..
-        } = ask;
+        } = query;
         let (tenant, units) = (tenant.as_str(), *units);
         let assumed = self.assumed(tenant, now);
         let Some(account) = self.accounts.get_mut(tenant) else {
             return QuotaVerdict::Unknown;
         };
-        // A request larger than the burst needs no more than that.
+        // A request larger than the burst needs only the burst, and the rest becomes debt.
         let needed = f64::from(units).min(account.quota.burst);
-        let kept_free = account.kept_free(*rank);
-        if let Some(fits_after) = account.refuses(needed, kept_free, assumed, now) {
+        let reserved = account.reserved(*rank);
+        if let Some(fits_after) = account.time_until_admitted(needed, reserved, assumed, now) {
             return QuotaVerdict::Refused { fits_after };
         }
         account.count(i64::from(units), now, now);
-        self.note(router, tenant, i64::from(units), now);
+        self.record(router, tenant, i64::from(units), now);
         QuotaVerdict::Granted
     }
 
-    /// Notes that a router is not heard any more: it may go on without a leader, until
-    /// it is heard again and tells what it used.
+    /// Records that a router is disconnected. It may continue to admit requests without a leader,
+    /// so use at its recent rate is assumed until it reports its use again.
     pub fn router_lost(&mut self, router: &str, now: Timestamp) {
         let Some(used) = self.routers.remove(router) else {
             return;
@@ -161,40 +162,40 @@
         let rates = used
             .into_iter()
             .map(|(tenant, history)| (tenant, rate(history)));
-        let lost = LostRouter {
+        let disconnected = DisconnectedRouter {
             since: now,
             rates: rates.collect(),
         };
-        self.lost.insert(router.to_owned(), lost);
+        self.disconnected.insert(router.to_owned(), disconnected);
     }
 
-    /// Notes that a router is heard again.
+    /// Records that a router is in contact again.
     pub fn router_contacted(&mut self, router: &str) {
-        self.lost.remove(router);
+        self.disconnected.remove(router);
     }
 
-    /// Whether an account turned guarded or free since the last call.
+    /// Whether the near-limit status of an account has changed since the last call.
     pub fn take_status_changed(&mut self) -> bool {
-        std::mem::take(&mut self.turned)
+        std::mem::take(&mut self.status_changed)
     }
 
-    /// How the accounts stand that were used lately.
+    /// Statuses of the accounts with recent use.
     pub fn account_statuses(&mut self, now: Timestamp) -> Vec<TenantAccountStatus> {
-        self.look(now);
+        self.update_statuses(now);
         let accounts = self.accounts.iter_mut();
-        let standings = accounts.filter_map(|(tenant, account)| {
+        let statuses = accounts.filter_map(|(tenant, account)| {
             let used = u64::try_from(account.history.sum(now)).unwrap_or(0);
-            let guarded = account.guarded;
-            (used > 0 || guarded).then(|| TenantAccountStatus {
+            let near_limit = account.near_limit;
+            (used > 0 || near_limit).then(|| TenantAccountStatus {
                 tenant: tenant.clone(),
-                near_limit: guarded,
+                near_limit,
                 used,
             })
         });
-        standings.collect()
+        statuses.collect()
     }
 
-    fn note(&mut self, router: &str, tenant: &str, units: i64, at: Timestamp) {
+    fn record(&mut self, router: &str, tenant: &str, units: i64, at: Timestamp) {
         let window = self.settings.window;
         if !self.routers.contains_key(router) {
             self.routers.insert(router.to_owned(), BTreeMap::new());
@@ -212,47 +213,49 @@
         }
     }
 
-    /// What lost routers are taken to have used in the last window.
+    /// Assumed use of disconnected routers in the last window, in units.
     fn assumed(&self, tenant: &str, now: Timestamp) -> f64 {
         let window = self.settings.window;
-        let lost = self.lost.values();
-        let used = lost.filter_map(|lost| {
-            let rate = lost.rates.get(tenant)?;
-            let end = now.min(lost.since + window);
-            let begin = lost.since.max(now - window);
-            Some(rate * end.since(begin).as_secs_f64())
+        let disconnected = self.disconnected.values();
+        let used = disconnected.filter_map(|disconnected| {
+            let rate = disconnected.rates.get(tenant)?;
+            let end = now.min(disconnected.since + window);
+            let start = disconnected.since.max(now - window);
+            Some(rate * end.since(start).as_secs_f64())
         });
         used.sum()
     }
 
-    /// Decides which accounts are guarded, and forgets what is long gone.
-    fn look(&mut self, now: Timestamp) {
+    /// Updates the near-limit status of all accounts, and removes expired entries.
+    fn update_statuses(&mut self, now: Timestamp) {
         let window = self.settings.window;
-        let kept = |lost: &LostRouter| now.since(lost.since) <= window + window;
-        self.lost.retain(|_, lost| kept(lost));
+        let is_recent =
+            |disconnected: &DisconnectedRouter| now.since(disconnected.since) <= window + window;
+        self.disconnected
+            .retain(|_, disconnected| is_recent(disconnected));
         for tenants in self.routers.values_mut() {
             tenants.retain(|_, history| history.sum(now) != 0);
         }
         let tenants: Vec<String> = self.accounts.keys().cloned().collect();
         for tenant in tenants {
-            self.look_at(&tenant, now);
+            self.update_status(&tenant, now);
         }
     }
 
-    /// Decides whether an account is guarded.
-    fn look_at(&mut self, tenant: &str, now: Timestamp) {
+    /// Updates the near-limit status of one account.
+    fn update_status(&mut self, tenant: &str, now: Timestamp) {
         let assumed = self.assumed(tenant, now);
         let Some(account) = self.accounts.get_mut(tenant) else {
             return;
         };
-        let bound = match account.guarded {
-            true => FREE_ABOVE,
-            false => GUARDED_BELOW,
+        let threshold = match account.near_limit {
+            true => NOT_NEAR_LIMIT_ABOVE,
+            false => NEAR_LIMIT_BELOW,
         };
-        let paced = account.pace.level(now) < bound * account.pace.capacity();
-        let guarded = paced || account.left(assumed, now) < bound * account.allowance;
-        self.turned |= guarded != account.guarded;
-        account.guarded = guarded;
+        let is_paced = account.pace.level(now) < threshold * account.pace.capacity();
+        let near_limit = is_paced || account.left(assumed, now) < threshold * account.allowance;
+        self.status_changed |= near_limit != account.near_limit;
+        account.near_limit = near_limit;
     }
 }
 
@@ -264,54 +267,55 @@
             quota,
             allowance: settings.allowance(&quota),
             history: History::new(ACCOUNT_SLOT, settings.window),
-            guarded: false,
+            near_limit: false,
         }
     }
 
     fn with_quota(mut self, quota: Quota, settings: &QuotaSettings, now: Timestamp) -> Self {
         let (rate, capacity) = settings.pace(&quota);
         self.pace.resize(rate, capacity, now);
-        let before = std::mem::replace(&mut self.allowance, settings.allowance(&quota));
+        let previous = std::mem::replace(&mut self.allowance, settings.allowance(&quota));
         self.quota = quota;
-        if self.allowance < before {
-            self.history.scale(self.allowance / before);
+        if self.allowance < previous {
+            self.history.scale(self.allowance / previous);
         }
         self
     }
 
-    /// Why a request that needs so much does not fit: the time after which it would.
-    fn refuses(
+    /// Time after which a request of `needed` units would be within the quota; `None` if it is
+    /// within it now. `assumed` is the assumed use of disconnected routers.
+    fn time_until_admitted(
         &mut self,
         needed: f64,
-        kept_free: f64,
+        reserved: f64,
         assumed: f64,
         now: Timestamp,
     ) -> Option<Millis> {
         let missing = needed - self.left(assumed, now);
-        let unpaced = self.pace.time_until(needed + kept_free, now);
+        let pace_wait = self.pace.time_until(needed + reserved, now);
         if missing <= 0.0 {
-            return (unpaced > Millis(0)).then_some(unpaced);
+            return (pace_wait > Millis(0)).then_some(pace_wait);
         }
-        let forgotten = self.history.expires_after(missing, now);
-        Some(unpaced.max(forgotten.unwrap_or(ACCOUNT_SLOT)))
+        let expired = self.history.expires_after(missing, now);
+        Some(pace_wait.max(expired.unwrap_or(ACCOUNT_SLOT)))
     }
 
-    /// What a request of this rank leaves for more urgent ones.
-    fn kept_free(&self, rank: u8) -> f64 {
-        let ranks = f64::from(rank.min(RANKS_TOLD_APART));
-        self.pace.capacity() * KEPT_FREE_PER_RANK * ranks
+    /// Units that a request of this rank leaves free for more urgent ones.
+    fn reserved(&self, rank: u8) -> f64 {
+        let ranks = f64::from(rank.min(MAX_RANK));
+        self.pace.capacity() * RESERVED_PER_RANK * ranks
     }
 
-    /// Counts use at a moment.
+    /// Counts use at a time.
     fn count(&mut self, units: i64, at: Timestamp, now: Timestamp) {
         self.history.add(units, 0, at);
-        if now.since(at) <= PACED {
+        if now.since(at) <= MAX_PACED_AGE {
             self.pace.charge(units as f64, now);
             self.pace.forgive_below(-self.pace.capacity());
         }
     }
 
-    /// Units that are left in the present window.
+    /// Units that are left in the current window.
     fn left(&mut self, assumed: f64, now: Timestamp) -> f64 {
         self.allowance - self.history.sum(now) as f64 - assumed
     }
--- a/crates/services/src/quota/local.rs
+++ b/crates/services/src/quota/local.rs
@@ -1,8 +1,8 @@
-//! A router's side of tenants' limits.
+//! A router's side of tenants' quotas.
 //!
-//! Invariant: every request that is admitted is counted once: told to the leader in
-//! the next report, or charged by the leader when it was asked. One that did not run
-//! is given back.
+//! Invariant: every admitted request is counted once: it is either sent to the leader with the
+//! next report, or charged by the leader when it was queried. A request that did not run is
+//! refunded.
 
 use super::history::History;
 use super::{LimitedRequest, QuotaQuery, QuotaSettings, TenantAccountStatus, TenantUse};
@@ -10,30 +10,30 @@
 use courseshunt_types::{Millis, Timestamp};
 use std::collections::HashMap;
 
-/// A router that does not ask lets a tenant that was well below its limit owe so many
-/// times its own part of the burst: requests come unevenly to single routers. With
-/// none, 5 in 100 units of a large tenant are refused while a leader is missing for
-/// 3.5 s, at 80 routers in virtual time; with two, under 1.
-const OWN_DEBT: f64 = 2.0;
+/// Debt that a tenant well below its limit may have at one router, as a multiple of the local
+/// share of the burst, because requests are distributed unevenly over routers. Without debt, 5 %
+/// of the units of a large tenant are refused in simulations with 80 routers while no leader is
+/// available for 3.5 s; with a factor of two, less than 1 %.
+const MAX_DEBT_FACTOR: f64 = 2.0;
 
-/// Without a leader, a router has this part of its own part where the account was
-/// guarded: most of the limit was used already.
-const GUARDED_PART: f64 = 0.5;
+/// Fraction of its local share that a router may use without a leader if the account was near its
+/// limit, because most of the quota was already used.
+const NEAR_LIMIT_FRACTION: f64 = 0.5;
 
-/// Exactness of what a router remembers: a new leader learns of earlier use this
-/// exactly, in one message of a few entries for each tenant.
-const SLOT: Millis = Millis(1_000);
+/// Resolution of the use that a router keeps. A new leader receives earlier use with this
+/// resolution, in one message with a few entries per tenant.
+const HISTORY_SLOT: Millis = Millis(1_000);
 
-/// What to do with a request.
+/// Next step for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaStep {
-    /// It is within the limit, and counted.
+    /// The request is within the quota, and is counted.
     Admit,
-    /// The leader has to be asked.
+    /// The leader has to be queried.
     Query,
-    /// It is beyond the limit.
+    /// The request exceeds the quota.
     Refuse {
-        /// Time after which it would fit.
+        /// Time after which the request would be within the quota.
         fits_after: Millis,
     },
 }
@@ -48,16 +48,16 @@
 
 #[derive(Debug)]
 struct Account {
-    guarded: bool,
-    /// Units that all routers used in the last window, as told.
+    near_limit: bool,
+    /// Units that all routers used in the last window, as published by the leader.
     used_by_all: u64,
     history: History,
-    /// This router's own part of the limit.
-    own: Option<TokenBucket>,
+    /// Tokens of this router's local share of the quota.
+    local_share: Option<TokenBucket>,
     refused: Option<Refused>,
 }
 
-/// See the module.
+/// Quota accounts of one router, by tenant. See the module documentation.
 #[derive(Debug)]
 pub struct RouterQuotas {
     settings: QuotaSettings,
@@ -69,17 +69,17 @@
 impl Account {
     fn new(window: Millis) -> Self {
         Self {
-            guarded: false,
+            near_limit: false,
             used_by_all: 0,
-            history: History::new(SLOT, window),
-            own: None,
+            history: History::new(HISTORY_SLOT, window),
+            local_share: None,
             refused: None,
         }
     }
 }
 
 impl RouterQuotas {
-    /// Accounts of a router that has not heard a leader yet.
+    /// Creates the accounts of a router that has had no contact with a leader yet.
     #[must_use]
     pub fn new(settings: QuotaSettings, routers: u32) -> Self {
         Self {
@@ -90,24 +90,24 @@
         }
     }
 
-    /// Follows the number of routers that share the limits.
+    /// Sets the number of routers that share the quotas.
     pub fn set_routers(&mut self, routers: u32) {
         self.routers = routers.max(1);
     }
 
-    /// Takes the leader's word on the accounts over. A new leader is told anew what
-    /// was used lately.
+    /// Applies the account statuses that the leader of `epoch` published. If the epoch is new, all
+    /// recent use is marked as unreported. Tenants without a status count as unused.
     pub fn set_account_statuses(
         &mut self,
         epoch: u64,
-        standings: Vec<TenantAccountStatus>,
+        statuses: Vec<TenantAccountStatus>,
         now: Timestamp,
     ) {
         let window = self.settings.window;
         let is_new = epoch != self.epoch;
         self.epoch = epoch;
         for account in self.accounts.values_mut() {
-            account.guarded = false;
+            account.near_limit = false;
             account.used_by_all = 0;
             account.history.sum(now);
             if is_new {
@@ -115,37 +115,37 @@
                 account.history.mark_all_unreported();
             }
         }
-        for standing in standings {
-            let account = self.accounts.entry(standing.tenant);
+        for status in statuses {
+            let account = self.accounts.entry(status.tenant);
             let account = account.or_insert_with(|| Account::new(window));
-            account.guarded = standing.near_limit;
-            account.used_by_all = standing.used;
+            account.near_limit = status.near_limit;
+            account.used_by_all = status.used;
         }
     }
 
-    /// Decides on a request of these units, and counts it where it is admitted.
-    /// `led` tells whether a leader was heard lately; `draw` is a number drawn evenly
-    /// from 0 up to 1.
+    /// Decides on a request, and counts it if it is admitted. `has_leader` states whether the router
+    /// had contact with a leader recently; `draw` is a uniformly distributed random number in
+    /// [0, 1).
     pub fn decide(
         &mut self,
         request: &LimitedRequest<'_>,
-        led: bool,
+        has_leader: bool,
         draw: f64,
         now: Timestamp,
     ) -> QuotaStep {
-        if !led || self.epoch == 0 {
+        if !has_leader || self.epoch == 0 {
             return self.decide_without_leader(request, draw, now);
         }
-        let is_free = !self.account(request.tenant).guarded;
-        if is_free && self.is_within_part(request, now) {
-            self.count_led(request, true, now);
+        let is_open = !self.account(request.tenant).near_limit;
+        if is_open && self.is_within_local_share(request, now) {
+            self.count_with_leader(request, true, now);
             return QuotaStep::Admit;
         }
         let account = self.account(request.tenant);
         let refused = account.refused.filter(|refused| refused.until > now);
-        let asked_in_vain =
+        let covers =
             |refused: &Refused| request.units >= refused.units && request.rank >= refused.rank;
-        match refused.filter(asked_in_vain) {
+        match refused.filter(covers) {
             Some(refused) => QuotaStep::Refuse {
                 fits_after: refused.until.since(now),
             },
@@ -153,12 +153,12 @@
         }
     }
 
-    /// Decides without a leader, by this router's own part of the limit.
+    /// Decides without a leader, by this router's local share of the quota.
     ///
-    /// A part may be smaller than any request. Of a tenant that was well below its
-    /// limit, a request may then owe the rest. Of one that was near it, all routers
-    /// together would so admit a multiple: there chance lets through as many as the
-    /// parts add up to.
+    /// A local share may be smaller than any request. For a tenant that was well below its limit,
+    /// a request may then go into debt. For a tenant that was near its limit, all routers together
+    /// would admit a multiple of the quota in this way; instead, requests are admitted at random,
+    /// with a probability at which the admitted units match the sum of the shares.
     pub fn decide_without_leader(
         &mut self,
         request: &LimitedRequest<'_>,
@@ -166,23 +166,23 @@
         now: Timestamp,
     ) -> QuotaStep {
         let amount = f64::from(request.units);
-        let guarded = self.account(request.tenant).guarded;
-        let level = self.own_bucket(request, now).level(now);
-        let admitted = match guarded {
+        let near_limit = self.account(request.tenant).near_limit;
+        let level = self.local_bucket(request, now).level(now);
+        let admitted = match near_limit {
             true => draw * amount < level,
-            false => self.is_within_part(request, now),
+            false => self.is_within_local_share(request, now),
         };
-        let own = self.own_bucket(request, now);
+        let local_share = self.local_bucket(request, now);
         if !admitted {
-            let fits_after = own.time_until(amount, now);
-            if guarded {
-                own.charge(level.max(0.0), now);
+            let fits_after = local_share.time_until(amount, now);
+            if near_limit {
+                local_share.charge(level.max(0.0), now);
             }
             return QuotaStep::Refuse { fits_after };
         }
-        own.charge(amount, now);
-        if guarded {
-            own.forgive_below(0.0);
+        local_share.charge(amount, now);
+        if near_limit {
+            local_share.forgive_below(0.0);
         }
         self.count(request, true, now);
         QuotaStep::Admit
@@ -190,10 +190,10 @@
 
     /// Counts a request that the leader granted.
     pub fn granted(&mut self, request: &LimitedRequest<'_>, now: Timestamp) {
-        self.count_led(request, false, now);
+        self.count_with_leader(request, false, now);
     }
 
-    /// Notes that the leader refused a request.
+    /// Records that the leader refused a request.
     pub fn refused(&mut self, ask: &QuotaQuery, fits_after: Millis, now: Timestamp) {
         let refused = Refused {
             until: now + fits_after,
@@ -203,23 +203,23 @@
         self.account(&ask.tenant).refused = Some(refused);
     }
 
-    /// Gives back what a request did not use that was counted at `counted_at`.
+    /// Refunds units that a request counted at `counted_at` did not use.
     pub fn refund(&mut self, tenant: &str, units: u32, counted_at: Timestamp, now: Timestamp) {
         let account = self.account(tenant);
         let units = i64::from(units);
         account.history.add(-units, -units, counted_at);
-        if let Some(own) = &mut account.own {
-            own.charge(-(units as f64), now);
+        if let Some(local_share) = &mut account.local_share {
+            local_share.charge(-(units as f64), now);
         }
     }
 
-    /// What to tell the leader of this epoch.
+    /// Takes the unreported use, with the epoch of the leader that it is meant for.
     pub fn take_report(&mut self, now: Timestamp) -> (u64, Vec<TenantUse>) {
         let mut uses = Vec::new();
         for (tenant, account) in &mut self.accounts {
             account.history.sum(now);
-            let untold = account.history.take_unreported(now).into_iter();
-            uses.extend(untold.map(|(units, age)| TenantUse {
+            let unreported = account.history.take_unreported(now).into_iter();
+            uses.extend(unreported.map(|(units, age)| TenantUse {
                 tenant: tenant.clone(),
                 units,
                 age,
@@ -228,11 +228,12 @@
         (self.epoch, uses)
     }
 
-    /// Whether a request is within this router's own part, and what it may owe.
-    fn is_within_part(&mut self, request: &LimitedRequest<'_>, now: Timestamp) -> bool {
-        let own = self.own_bucket(request, now);
-        let needed = f64::from(request.units).min(own.capacity()) - OWN_DEBT * own.capacity();
-        own.level(now) >= needed
+    /// Whether a request is within this router's local share and the allowed debt.
+    fn is_within_local_share(&mut self, request: &LimitedRequest<'_>, now: Timestamp) -> bool {
+        let local_share = self.local_bucket(request, now);
+        let needed = f64::from(request.units).min(local_share.capacity())
+            - MAX_DEBT_FACTOR * local_share.capacity();
+        local_share.level(now) >= needed
     }
 
     fn account(&mut self, tenant: &str) -> &mut Account {
@@ -241,41 +242,50 @@
         account.or_insert_with(|| Account::new(window))
     }
 
-    /// Counts what was admitted under a leader, also in this router's own part.
-    fn count_led(&mut self, request: &LimitedRequest<'_>, untold: bool, now: Timestamp) {
-        let own = self.own_bucket(request, now);
-        own.charge(f64::from(request.units), now);
-        // Requests larger than the part would shut it for long.
-        own.forgive_below(-(1.0 + OWN_DEBT) * own.capacity());
-        self.count(request, untold, now);
+    /// Counts a request that was admitted with a leader, also in the local share.
+    fn count_with_leader(
+        &mut self,
+        request: &LimitedRequest<'_>,
+        unreported: bool,
+        now: Timestamp,
+    ) {
+        let local_share = self.local_bucket(request, now);
+        local_share.charge(f64::from(request.units), now);
+        // Without this, requests larger than the share would block it for a long time.
+        local_share.forgive_below(-(1.0 + MAX_DEBT_FACTOR) * local_share.capacity());
+        self.count(request, unreported, now);
     }
 
-    fn count(&mut self, request: &LimitedRequest<'_>, untold: bool, now: Timestamp) {
+    fn count(&mut self, request: &LimitedRequest<'_>, unreported: bool, now: Timestamp) {
         let units = i64::from(request.units);
-        let untold = if untold { units } else { 0 };
+        let unreported = if unreported { units } else { 0 };
         let account = self.account(request.tenant);
-        account.history.add(units, untold, now);
+        account.history.add(units, unreported, now);
     }
 
-    /// This router's own part of the limit: what it had of all that was used lately,
-    /// or an equal part where it had nothing.
-    fn own_bucket(&mut self, request: &LimitedRequest<'_>, now: Timestamp) -> &mut TokenBucket {
+    /// Token bucket of this router's local share of the quota: its share of the recent use of all
+    /// routers, or an equal share if there was none.
+    fn local_bucket(&mut self, request: &LimitedRequest<'_>, now: Timestamp) -> &mut TokenBucket {
         let LimitedRequest { tenant, quota, .. } = *request;
         let routers = f64::from(self.routers);
         let account = self.account(tenant);
-        let open = if account.guarded { GUARDED_PART } else { 1.0 };
-        let own_use = account.history.sum(now) as f64;
-        let all = account.used_by_all as f64;
-        let part = match own_use > 0.0 && all > 0.0 {
-            true => (own_use / all).min(1.0),
+        let usable = if account.near_limit {
+            NEAR_LIMIT_FRACTION
+        } else {
+            1.0
+        };
+        let local_use = account.history.sum(now) as f64;
+        let total = account.used_by_all as f64;
+        let share = match local_use > 0.0 && total > 0.0 {
+            true => (local_use / total).min(1.0),
             false => 1.0 / routers,
         };
-        let rate = quota.rate_per_second * part * open;
-        let capacity = quota.burst * part * open;
-        let own = account
-            .own
+        let rate = quota.rate_per_second * share * usable;
+        let capacity = quota.burst * share * usable;
+        let local_share = account
+            .local_share
             .get_or_insert_with(|| TokenBucket::full(rate, capacity, now));
-        own.resize(rate, capacity, now);
-        own
+        local_share.resize(rate, capacity, now);
+        local_share
     }
 }
--- a/crates/services/src/quota/mod.rs
+++ b/crates/services/src/quota/mod.rs
@@ -1,14 +1,14 @@
-//! Limits of tenants over the whole fleet.
+//! Quotas of tenants over the whole fleet.
 //!
-//! A limit bounds what is used in any window: the rate times the window, and the
-//! burst. The leader keeps one account for each tenant: what was used in the last
-//! window. While much of the limit is left, routers admit the tenant's requests at once
-//! and report what they used; once the account is guarded, they ask the leader for each
-//! request. A router without a leader spends its own part of the limit: the part that it
-//! had of what was used lately. See [`ledger`] for the leader's side and [`local`] for a router's.
+//! A quota bounds the use in any window: the rate times the window, plus the burst. The leader
+//! keeps one account for each tenant with the use of the last window. While much of the quota is
+//! left, routers admit the tenant's requests at once and report the use afterwards; once the
+//! account is near its limit, they query the leader for each request. A router without a leader
+//! spends its local share of the quota, which is its share of the recent use. See [`ledger`] for
+//! the leader's side and [`local`] for a router's.
 //!
-//! Invariant: what all routers admit in a window stays below rate times window and
-//! burst, with the margins of [`QuotaSettings`].
+//! Invariant: the use that all routers admit in a window stays below the rate times the window
+//! plus the burst, with the margins of [`QuotaSettings`].
 
 pub mod history;
 pub mod ledger;
@@ -17,14 +17,14 @@
 use crate::tenants::Quota;
 use courseshunt_types::Millis;
 
-/// How exactly limits have to be kept.
+/// Precision with which quotas are enforced.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaSettings {
-    /// Time over which use is judged.
+    /// Length of the window over which use is summed.
     pub window: Millis,
-    /// Units that may be used beyond a limit in a window, whatever the limit.
+    /// Units that may be used beyond a quota in a window, independent of the quota.
     pub slack: f64,
-    /// Part of a limit that may be used beyond it.
+    /// Fraction of a quota that may be used beyond it in a window.
     pub overshoot: f64,
 }
 
@@ -38,19 +38,19 @@
     }
 }
 
-/// Part of the overshoot that the leader grants; the rest covers what routers admit
-/// before they learn that an account is guarded, and without a leader: up to 4 in 100
-/// of a limit in virtual time.
-const GRANTED_OVERSHOOT: f64 = 0.5;
-/// Part of the slack that the leader grants, for the same reason.
-const GRANTED_SLACK: f64 = 0.5;
+/// Fraction of the overshoot that the leader grants. The rest covers the requests that routers
+/// admit before they are notified that an account is near its limit, and without a leader: up to
+/// 4 % of a quota in simulations.
+const GRANTED_OVERSHOOT_FRACTION: f64 = 0.5;
+/// Fraction of the slack that the leader grants, for the same reason.
+const GRANTED_SLACK_FRACTION: f64 = 0.5;
 
-/// What lasts so long may be used at once, in seconds, of a limit with a burst that is
-/// many times its rate.
-const PACE_SPAN_S: f64 = 1.0;
+/// Bounds the units that may be used at once to the allowance of this time, in seconds, for
+/// quotas with a burst that is many times their rate.
+const MAX_BURST_S: f64 = 1.0;
 
 impl QuotaSettings {
-    /// Settings with a window in seconds.
+    /// Creates settings with a window in seconds. See the fields for `overshoot` and `slack`.
     #[must_use]
     pub fn new(window_s: f64, overshoot: f64, slack: f64) -> Self {
         Self {
@@ -64,84 +64,86 @@
     #[must_use]
     pub fn allowance(&self, quota: &Quota) -> f64 {
         let limit = quota.rate_per_second * self.window.as_secs_f64() + quota.burst;
-        limit * (1.0 + GRANTED_OVERSHOOT * self.overshoot) + GRANTED_SLACK * self.slack
+        limit * (1.0 + GRANTED_OVERSHOOT_FRACTION * self.overshoot)
+            + GRANTED_SLACK_FRACTION * self.slack
     }
 
-    /// How the allowance is spread over a window: units a second, and at once.
+    /// Pacing of the allowance over a window: units per second, and units at once.
     pub(crate) fn pace(&self, quota: &Quota) -> (f64, f64) {
         let rate = self.allowance(quota) / self.window.as_secs_f64();
-        let at_once = quota.burst.min(rate * PACE_SPAN_S);
-        (rate, at_once + GRANTED_SLACK * self.slack)
+        let at_once = quota.burst.min(rate * MAX_BURST_S);
+        (rate, at_once + GRANTED_SLACK_FRACTION * self.slack)
     }
 }
 
-/// A request of a tenant with a limit.
+/// A request of a tenant that has a quota.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitedRequest<'a> {
     /// Name of the tenant.
     pub tenant: &'a str,
-    /// Its limit.
+    /// Quota of the tenant.
     pub quota: &'a Quota,
-    /// Units that the request counts.
+    /// Units that are charged for the request.
     pub units: u32,
-    /// Rank among the tenant's requests, 0 first.
+    /// Priority among the tenant's requests; 0 is the most urgent.
     pub rank: u8,
 }
 
-/// What a router used of a tenant's limit.
+/// Use of a tenant's quota at one router.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct TenantUse {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Units; below 0 when more was given back than used.
+    /// Units used; negative if more units were refunded than used.
     pub units: i64,
-    /// How long ago.
+    /// Time since the use.
     pub age: Millis,
 }
 
-/// How a tenant's account stands.
+/// Status of a tenant's account, published by the leader.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct TenantAccountStatus {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Whether the leader has to be asked for each request.
+    /// Whether the leader has to be queried for each request.
     pub near_limit: bool,
     /// Units that all routers used in the last window.
     pub used: u64,
 }
 
-/// A router asks for one request.
+/// Query of a router to the leader whether it may admit one request.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct QuotaQuery {
-    /// Number of the question, unique at the router.
+    /// Number of the query, unique at the router.
     pub number: u64,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
     /// Units of the request.
     pub units: u32,
-    /// Rank of the request among its tenant's, 0 first.
+    /// Priority among the tenant's requests; 0 is the most urgent.
     pub rank: u8,
 }
 
-/// The leader's answer.
+/// The leader's answer to a [`QuotaQuery`].
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct QuotaAnswer {
-    /// Number of the question.
+    /// Number of the query.
     pub number: u64,
-    /// What was decided.
+    /// The leader's decision.
     pub verdict: QuotaVerdict,
 }
 
 /// A decision on one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum QuotaVerdict {
-    /// It is within the limit, and counted.
+    /// The request is within the quota, and is counted.
     Granted,
-    /// It is beyond the limit.
+    /// The request exceeds the quota, and is not counted.
     Refused {
-        /// Time after which it would fit.
+        /// Time after which the request would be within the quota.
         fits_after: Millis,
     },
-    /// This leader can't tell.
+    /// This process can't decide: it is not in contact with a quorum, or has no account of the
+    /// tenant.
     Unknown,
 }
--- a/crates/services/src/selection/absence.rs
+++ b/crates/services/src/selection/absence.rs
@@ -1,28 +1,27 @@
-//! What an instance said it does not have: it turned a request away as meant for another
-//! instance, or for a model or adapter that is not there.
+//! Models and adapters that an instance reported as missing: it rejected a request as intended
+//! for another instance, or for a model or adapter that it does not hold.
 //!
-//! Invariant: it is not asked for the same again until it is told anew what it holds, or a
-//! while has passed, twice as long each time that it says so again.
+//! Invariant: the instance is not sent a request for the same model and adapter until an update
+//! of its models arrives, or a backoff has passed, which doubles with each further rejection.
 
 use super::PromptShape;
 use courseshunt_types::{Millis, Timestamp};
 use std::collections::HashMap;
 
-/// First time for which it is not asked again: what routers are told of its models comes
-/// within this.
-const FIRST: Millis = Millis(200);
-/// It grows no longer than this: the time after which a silent instance is taken for gone.
-const LONGEST: Millis = Millis(3_200);
-/// Models and adapters that are remembered for one instance at the most.
-const MAX_KEPT: usize = 256;
+/// First backoff: an update of the instance's models reaches routers within this time.
+const INITIAL_BACKOFF: Millis = Millis(200);
+/// Longest backoff: the time after which an instance without heartbeats is considered lost.
+const MAX_BACKOFF: Millis = Millis(3_200);
+/// Number of entries for one instance from which expired ones are removed.
+const CLEANUP_THRESHOLD: usize = 256;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Asked {
+struct ModelKey {
     model: String,
     adapter: Option<String>,
 }
 
-impl Asked {
+impl ModelKey {
     fn of(shape: &PromptShape) -> Self {
         Self {
             model: shape.model.clone(),
@@ -37,36 +36,38 @@
     length: Millis,
 }
 
-/// See the module.
+/// Missing models and adapters of one instance. See the module documentation.
 #[derive(Debug, Default)]
 pub(super) struct Absences {
-    absent: HashMap<Asked, Absence>,
+    absent: HashMap<ModelKey, Absence>,
 }
 
 impl Absences {
-    /// Notes that it does not have what a request asks for.
-    pub(super) fn lacks(&mut self, shape: &PromptShape, now: Timestamp) {
-        if self.absent.len() >= MAX_KEPT {
+    /// Records that the instance does not have the requested model or adapter.
+    pub(super) fn insert(&mut self, shape: &PromptShape, now: Timestamp) {
+        if self.absent.len() >= CLEANUP_THRESHOLD {
             self.absent.retain(|_, absence| now < absence.until);
         }
-        let asked = Asked::of(shape);
-        let before = self.absent.get(&asked).map(|absence| absence.length);
-        let length = before.map_or(FIRST, |length| Millis(length.0 * 2).min(LONGEST));
+        let key = ModelKey::of(shape);
+        let previous = self.absent.get(&key).map(|absence| absence.length);
+        let length = previous.map_or(INITIAL_BACKOFF, |length| {
+            Millis(length.0 * 2).min(MAX_BACKOFF)
+        });
         let until = now + length;
-        self.absent.insert(asked, Absence { until, length });
+        self.absent.insert(key, Absence { until, length });
     }
 
-    /// Forgets what it said: it is told anew what it holds, or it has answered.
-    pub(super) fn forget(&mut self) {
+    /// Removes all entries, after an update of the models that the instance holds.
+    pub(super) fn clear(&mut self) {
         self.absent.clear();
     }
 
-    /// For how long it is not to be asked for this; none: it may be asked.
-    pub(super) fn lacks_for(&self, shape: &PromptShape, now: Timestamp) -> Option<Millis> {
+    /// Remaining backoff for the model and adapter of `shape`; `None` if a request may be sent.
+    pub(super) fn remaining(&self, shape: &PromptShape, now: Timestamp) -> Option<Millis> {
         if self.absent.is_empty() {
             return None;
         }
-        let absence = self.absent.get(&Asked::of(shape))?;
+        let absence = self.absent.get(&ModelKey::of(shape))?;
         (now < absence.until).then(|| absence.until.since(now))
     }
 }
--- a/crates/services/src/selection/limits.rs
+++ b/crates/services/src/selection/limits.rs
@@ -1,4 +1,5 @@
-//! Limits that instances name, as a choice among them needs these: see [`crate::limit`].
+//! Rate limits that instances report, as far as a router's selection needs them. See
+//! [`crate::limit`].
 
 use super::Selector;
 use crate::limit::local::{LimitChange, LimitStep};
@@ -6,50 +7,50 @@
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 
 impl Selector {
-    /// Notes which limit an answer names to a request that was sent at `asked_at`; none: it
-    /// names no limit.
+    /// Records the rate limit in an answer to a request that was sent at `sent_at`; `None` if the
+    /// answer reports no limit.
     pub fn observe_limit(
         &mut self,
         instance: &RunnerId,
         rate: Option<RequestRate>,
-        asked_at: Timestamp,
+        sent_at: Timestamp,
         now: Timestamp,
     ) -> LimitChange {
-        self.limits.observe(instance, rate, asked_at, now)
+        self.limits.observe(instance, rate, sent_at, now)
     }
 
-    /// Takes over what the leader tells of limits; returns what is news.
+    /// Applies the limits that the leader published; returns those that changed.
     pub fn apply_leader_limits(
         &mut self,
-        words: &[LimitReport],
+        reports: &[LimitReport],
         now: Timestamp,
     ) -> Vec<LimitReport> {
-        self.limits.apply_leader_reports(words, now)
+        self.limits.apply_leader_reports(reports, now)
     }
 
-    /// What the leader has to be told of limits.
+    /// Takes the limits that have not been reported to the leader yet.
     pub fn take_unreported_limits(&mut self, now: Timestamp) -> Vec<LimitReport> {
         self.limits.take_unreported(now)
     }
 
-    /// Another leader has to be told all limits.
+    /// Marks all limits as unreported, after a change of leader.
     pub fn mark_limits_unreported(&mut self) {
         self.limits.mark_all_unreported();
     }
 
-    /// What to do with a request for an instance, which may wait so long for its turn there.
-    /// `led` tells whether a leader can be asked.
+    /// Next step for a request to an instance, which may wait up to `max_wait` for its time slot.
+    /// `has_leader` states whether a leader can be queried.
     pub fn limit_step(
         &mut self,
         instance: &RunnerId,
-        patience: Millis,
-        led: bool,
+        max_wait: Millis,
+        has_leader: bool,
         now: Timestamp,
     ) -> LimitStep {
-        self.limits.step(instance, patience, led, now)
+        self.limits.step(instance, max_wait, has_leader, now)
     }
 
-    /// Notes the end of a question on an instance's limit, with the answer if it came.
+    /// Records the end of a query about an instance's limit, with the verdict if one came.
     pub fn finish_limit_query(
         &mut self,
         instance: &RunnerId,
@@ -59,7 +60,7 @@
         self.limits.finish_query(instance, verdict, now);
     }
 
-    /// The limit that an instance names.
+    /// The rate limit that an instance reports.
     #[must_use]
     pub fn limit_of(&self, instance: &RunnerId) -> Option<RequestRate> {
         self.limits.limit_of(instance)
--- a/crates/services/src/selection/prefixes.rs
+++ b/crates/services/src/selection/prefixes.rs
@@ -1,97 +1,97 @@
-//! Which beginnings of prompts an instance keeps, as far as one router knows: those that
-//! requests of its own have read there, or are reading.
+//! Prompt prefixes that an instance is assumed to have cached: those that requests of this
+//! router have processed there, or are processing.
 //!
-//! Invariant: a request that was turned away leaves nothing behind.
+//! Invariant: a request that the instance rejected adds no prefix.
 
 use courseshunt_types::{Millis, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// How long a prefix counts as kept after its last use.
-const KEPT: Millis = Millis(60_000);
-/// Prefixes remembered for one instance at the most.
-const MAX_PREFIXES: usize = 4096;
+/// Time for which a prefix counts as cached after its last use.
+const CACHED_TIME: Millis = Millis(60_000);
+/// Number of prefixes for one instance from which those not used recently are removed.
+const CLEANUP_THRESHOLD: usize = 4096;
 
-/// A beginning of a prompt: its key, and its tokens up to there.
+/// A prompt prefix: its key, and its length in tokens.
 pub(super) type PrefixKey = (u64, u32);
 
 #[derive(Debug, Default)]
 struct Prefix {
-    /// When a request that read it was sent last.
+    /// When the newest request that processed it was sent.
     used_at: Option<Timestamp>,
-    /// Requests under way that read it.
-    reading: u32,
+    /// Requests in flight that contain it.
+    in_flight_requests: u32,
 }
 
 impl Prefix {
-    fn is_kept(&self, now: Timestamp) -> bool {
-        self.reading > 0 || self.used_at.is_some_and(|at| now.since(at) < KEPT)
+    fn is_cached(&self, now: Timestamp) -> bool {
+        self.in_flight_requests > 0 || self.used_at.is_some_and(|at| now.since(at) < CACHED_TIME)
     }
 }
 
-/// A request under way.
+/// A request in flight.
 #[derive(Debug)]
-struct Reading {
+struct InFlightRequest {
     sent_at: Timestamp,
     keys: Vec<u64>,
 }
 
-/// See the module.
+/// Cached prefixes of one instance. See the module documentation.
 #[derive(Debug, Default)]
-pub(super) struct KeptPrefixes {
+pub(super) struct CachedPrefixes {
     prefixes: HashMap<u64, Prefix>,
-    /// By ticket.
-    under_way: BTreeMap<u64, Reading>,
+    /// Requests in flight by ticket.
+    in_flight: BTreeMap<u64, InFlightRequest>,
 }
 
-impl KeptPrefixes {
-    /// Tokens of the longest beginning that is kept.
+impl CachedPrefixes {
+    /// Tokens of the longest prefix that is cached.
     pub(super) fn tokens(&self, keys: &[PrefixKey], now: Timestamp) -> u32 {
-        let kept = keys.iter().take_while(|(key, _)| {
+        let cached = keys.iter().take_while(|(key, _)| {
             let prefix = self.prefixes.get(key);
-            prefix.is_some_and(|prefix| prefix.is_kept(now))
+            prefix.is_some_and(|prefix| prefix.is_cached(now))
         });
-        kept.last().map_or(0, |(_, tokens)| *tokens)
+        cached.last().map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request is sent.
     pub(super) fn begin(&mut self, ticket: u64, keys: &[PrefixKey], now: Timestamp) {
         let keys: Vec<u64> = keys.iter().map(|(key, _)| *key).collect();
         for key in &keys {
-            self.prefixes.entry(*key).or_default().reading += 1;
+            self.prefixes.entry(*key).or_default().in_flight_requests += 1;
         }
-        let reading = Reading { sent_at: now, keys };
-        self.under_way.insert(ticket, reading);
-        if self.prefixes.len() > MAX_PREFIXES {
-            let oldest = now - Millis(KEPT.0 / 4);
+        let request = InFlightRequest { sent_at: now, keys };
+        self.in_flight.insert(ticket, request);
+        if self.prefixes.len() > CLEANUP_THRESHOLD {
+            let oldest = now - Millis(CACHED_TIME.0 / 4);
             self.prefixes.retain(|_, prefix| {
-                prefix.reading > 0 || prefix.used_at.is_some_and(|at| at >= oldest)
+                prefix.in_flight_requests > 0 || prefix.used_at.is_some_and(|at| at >= oldest)
             });
         }
     }
 
-    /// Notes that a request's prompt was read, or may have been.
-    pub(super) fn read(&mut self, ticket: u64) {
-        self.settle(ticket, true);
+    /// Records that a request's prompt was processed, or may have been.
+    pub(super) fn processed(&mut self, ticket: u64) {
+        self.finish(ticket, true);
     }
 
-    /// Notes that a request was turned away.
-    pub(super) fn turned_away(&mut self, ticket: u64) {
-        self.settle(ticket, false);
+    /// Records that a request was rejected.
+    pub(super) fn rejected(&mut self, ticket: u64) {
+        self.finish(ticket, false);
     }
 
-    fn settle(&mut self, ticket: u64, was_read: bool) {
-        let Some(reading) = self.under_way.remove(&ticket) else {
+    fn finish(&mut self, ticket: u64, was_processed: bool) {
+        let Some(request) = self.in_flight.remove(&ticket) else {
             return;
         };
-        for key in reading.keys {
+        for key in request.keys {
             let Some(prefix) = self.prefixes.get_mut(&key) else {
                 continue;
             };
-            prefix.reading = prefix.reading.saturating_sub(1);
-            if was_read {
-                prefix.used_at = prefix.used_at.max(Some(reading.sent_at));
+            prefix.in_flight_requests = prefix.in_flight_requests.saturating_sub(1);
+            if was_processed {
+                prefix.used_at = prefix.used_at.max(Some(request.sent_at));
             }
-            if prefix.reading == 0 && prefix.used_at.is_none() {
+            if prefix.in_flight_requests == 0 && prefix.used_at.is_none() {
                 self.prefixes.remove(&key);
             }
         }
--- a/crates/services/src/selection/prompt.rs
+++ b/crates/services/src/selection/prompt.rs
@@ -1,40 +1,39 @@
-//! What is known of a request's prompt, and the work of reading it.
+//! Shape of a request's prompt, and the work of processing it.
 
 use super::DEFAULT_TOKENS_PER_MS;
 use super::prefixes::PrefixKey;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Time of reading that grows with the square of the prompt, in milliseconds
-/// for a million pairs of tokens, until measured.
-const MS_PER_MILLION_PAIRS: f64 = 0.5;
+/// Assumed processing time that grows with the square of the prompt length, in milliseconds per
+/// million pairs of tokens.
+const MS_PER_MILLION_TOKEN_PAIRS: f64 = 0.5;
 
-/// One part of a prompt.
+/// One part of a prompt, such as a shared system prompt or a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PrefixPart {
-    /// Identity; equal parts have equal ones.
+    /// Identity; equal parts have the same one.
     pub id: u64,
-    /// Its tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What is known of a request's work.
+/// Properties of a request that determine where it can run and how much work it is.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PromptShape {
-    /// The model, empty for a plain service.
+    /// Name of the model; empty for a plain service.
     pub model: String,
-    /// The adapter, if any.
+    /// Name of the adapter, if the request needs one.
     pub adapter: Option<String>,
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Tokens to go out at the most.
+    /// Largest number of tokens to generate.
     pub output_tokens: u32,
-    /// Parts of the prompt, in order; the last belongs to the request alone.
+    /// Parts of the prompt, in order; the last one is not shared with other requests.
     pub parts: Vec<PrefixPart>,
 }
 
 impl PromptShape {
-    /// Keys of the prompt's beginnings, one for each part, with the tokens up
-    /// to there.
+    /// Keys of the prompt's prefixes, one for each part, with their lengths in tokens.
     pub(super) fn prefix_keys(&self) -> Vec<PrefixKey> {
         let mut key = xxh3_64(self.model.as_bytes());
         if let Some(adapter) = &self.adapter {
@@ -49,18 +48,19 @@
         keys.collect()
     }
 
-    /// Key of what the request shares with others.
-    pub(super) fn home_key(&self, keys: &[PrefixKey]) -> Option<u64> {
+    /// Key of the longest prefix that the request may share with others, by which its preferred
+    /// instance is determined.
+    pub(super) fn affinity_key(&self, keys: &[PrefixKey]) -> Option<u64> {
         let shared = keys.len().checked_sub(2)?;
         keys.get(shared).map(|(key, _)| *key)
     }
 }
 
-/// What is to be read beyond `kept`, in tokens of a short prompt: long prompts
-/// take more than their length.
-pub(super) fn work_tokens(prompt: u32, kept: u32) -> u32 {
+/// Work to process a prompt of which `cached` tokens are cached, in tokens of a short prompt.
+/// The work of long prompts grows faster than their length.
+pub(super) fn work_tokens(prompt: u32, cached: u32) -> u32 {
     let square = |tokens: u32| f64::from(tokens).powi(2) / 1e6;
-    let pairs = square(prompt) - square(kept);
-    let extra = pairs * MS_PER_MILLION_PAIRS * DEFAULT_TOKENS_PER_MS;
-    (prompt - kept) + extra as u32
+    let pairs = square(prompt) - square(cached);
+    let extra = pairs * MS_PER_MILLION_TOKEN_PAIRS * DEFAULT_TOKENS_PER_MS;
+    (prompt - cached) + extra as u32
 }
--- a/crates/services/src/selection/pushback.rs
+++ b/crates/services/src/selection/pushback.rs
@@ -1,40 +1,43 @@
-//! What instances have asked of this process in their answers: to be left alone for a
-//! while, or for good since they leave.
+//! Pushbacks that instances sent to this process in their answers: a backoff, during which they
+//! are sent no requests, or a notice that they are leaving, after which they are sent none.
 //!
-//! Invariants: a word is of one life of an instance, and was said to this process alone.
-//! Rest ends with its time; leaving holds for the rest of that life, whatever is told of
-//! the instance later. Neither a feed nor a configuration changes it.
+//! Invariants: a pushback applies to one incarnation of an instance, and was sent to this process.
+//! A backoff ends with its time; a notice of leaving holds for the rest of the incarnation,
+//! whatever is reported of the instance later. Neither the feed nor a configuration changes
+//! it.
 //!
-//! For as long as it rested, an instance then gets few requests at once: one, one more for
-//! each good answer, and at most this process's share of its slots. Its callers waited for
-//! it, here and elsewhere; all at once they would turn its rest into the next one.
+//! After a backoff, for the same length of time, the number of concurrent requests to the
+//! instance is bounded by a window: one at first, one more for each successful answer, and at
+//! most this process's share of the instance's slots. Requests have queued for the instance
+//! during the backoff, here and at other routers; sent all at once, they would cause the next
+//! backoff.
 //!
-//! Cost: bounded by [`MAX_KEPT`].
+//! Memory: bounded by [`MAX_ENTRIES`].
 
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 use std::collections::{BTreeSet, HashMap};
 
-/// Instances whose word is kept at the most: several times those of the largest fleet that
-/// leave or rest at once. The oldest word goes first.
-const MAX_KEPT: usize = 16_384;
-/// Requests that an instance gets at once right after its rest.
-const FIRST_WINDOW: usize = 1;
+/// Largest number of instances with a pushback: several times those of the largest fleet that
+/// leave or are in backoff at once. The oldest entry is evicted first.
+const MAX_ENTRIES: usize = 16_384;
+/// Concurrent requests that are sent to an instance right after its backoff.
+const INITIAL_WINDOW: usize = 1;
 
-/// What an instance asked for.
+/// Reason of an instance for not being sent requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pushback {
-    /// To be sent nothing for so long from now on.
+    /// The instance is in backoff, for this remaining time.
     Backoff(Millis),
-    /// Its rest is over, and it has as many requests as it gets at once at first.
+    /// The backoff is over, and the window of concurrent requests is full.
     Recovering,
-    /// To be sent nothing for so long: its limit is used up.
+    /// The rate limit of the instance is used up for this remaining time.
     Limited(Millis),
-    /// To be sent nothing any more.
+    /// The instance is leaving and is sent no more requests.
     Leaving,
 }
 
 impl Pushback {
-    /// Name for logs and metrics.
+    /// Label for logs and metrics.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -47,58 +50,59 @@
 }
 
 #[derive(Debug)]
-struct Asked {
-    noted_at: Timestamp,
-    rest_until: Timestamp,
-    /// Until then it gets few requests at once.
-    few_until: Timestamp,
+struct Entry {
+    /// When the newest pushback was received.
+    received_at: Timestamp,
+    backoff_until: Timestamp,
+    /// Until this time the concurrent requests are bounded by `window`.
+    recovery_until: Timestamp,
     leaving: bool,
-    /// Requests that it may have at once after its rest.
+    /// Largest number of concurrent requests after the backoff.
     window: usize,
-    /// Tickets of those that it has.
-    under_way: BTreeSet<u64>,
+    /// Tickets of the requests in flight that were sent after the backoff.
+    in_flight: BTreeSet<u64>,
 }
 
-impl Asked {
-    fn is_over(&self, now: Timestamp) -> bool {
-        !self.leaving && now >= self.few_until
+impl Entry {
+    fn is_expired(&self, now: Timestamp) -> bool {
+        !self.leaving && now >= self.recovery_until
     }
 }
 
-/// See the module.
+/// Pushbacks of all instances. See the module documentation.
 #[derive(Debug, Default)]
 pub struct Pushbacks {
-    asked: HashMap<RunnerId, Asked>,
+    entries: HashMap<RunnerId, Entry>,
 }
 
 impl Pushbacks {
-    /// Notes that an instance asked for rest; one that asked for longer keeps that.
-    pub fn start_backoff(&mut self, instance: &RunnerId, rest: Millis, now: Timestamp) {
-        let asked = self.asked(instance, now);
-        asked.rest_until = asked.rest_until.max(now.surely_after(rest));
-        asked.few_until = asked.few_until.max(asked.rest_until + rest);
-        asked.window = FIRST_WINDOW;
+    /// Records that an instance requested a backoff; a longer one that is in force stays.
+    pub fn start_backoff(&mut self, instance: &RunnerId, backoff: Millis, now: Timestamp) {
+        let entry = self.entry(instance, now);
+        entry.backoff_until = entry.backoff_until.max(now.surely_after(backoff));
+        entry.recovery_until = entry.recovery_until.max(entry.backoff_until + backoff);
+        entry.window = INITIAL_WINDOW;
     }
 
-    /// Notes that an instance leaves; returns whether that is news.
+    /// Records that an instance is leaving; returns whether this is new.
     pub fn note_leaving(&mut self, instance: &RunnerId, now: Timestamp) -> bool {
-        let asked = self.asked(instance, now);
-        !std::mem::replace(&mut asked.leaving, true)
+        let entry = self.entry(instance, now);
+        !std::mem::replace(&mut entry.leaving, true)
     }
 
-    /// What an instance asked for that holds now: to rest, or that it leaves.
+    /// The pushback of an instance that is in force now: a backoff, or that it is leaving.
     #[must_use]
     pub fn active_pushback(&self, instance: &RunnerId, now: Timestamp) -> Option<Pushback> {
-        let asked = self.asked.get(instance)?;
-        if asked.leaving {
+        let entry = self.entries.get(instance)?;
+        if entry.leaving {
             return Some(Pushback::Leaving);
         }
-        let rests = now < asked.rest_until;
-        rests.then(|| Pushback::Backoff(asked.rest_until.since(now)))
+        let in_backoff = now < entry.backoff_until;
+        in_backoff.then(|| Pushback::Backoff(entry.backoff_until.since(now)))
     }
 
-    /// Why an instance is not to be sent a request now; none: it may be. `share` is this
-    /// process's part of its slots.
+    /// Reason for which an instance must not be sent a request now; `None` if it may be sent one.
+    /// `share` is this process's share of the instance's slots.
     #[must_use]
     pub fn blocked_by(
         &self,
@@ -106,80 +110,83 @@
         share: usize,
         now: Timestamp,
     ) -> Option<Pushback> {
-        if let Some(asked_for) = self.active_pushback(instance, now) {
-            return Some(asked_for);
+        if let Some(active) = self.active_pushback(instance, now) {
+            return Some(active);
         }
-        let asked = self.asked.get(instance)?;
-        let window = asked.window.min(share.max(FIRST_WINDOW));
-        let has_all = !asked.is_over(now) && asked.under_way.len() >= window;
-        has_all.then_some(Pushback::Recovering)
+        let entry = self.entries.get(instance)?;
+        let window = entry.window.min(share.max(INITIAL_WINDOW));
+        let is_full = !entry.is_expired(now) && entry.in_flight.len() >= window;
+        is_full.then_some(Pushback::Recovering)
     }
 
-    /// Instances that said that they leave.
+    /// Instances that reported that they are leaving.
     pub fn leaving(&self) -> impl Iterator<Item = &RunnerId> {
-        let leaving = self.asked.iter().filter(|(_, asked)| asked.leaving);
+        let leaving = self.entries.iter().filter(|(_, entry)| entry.leaving);
         leaving.map(|(id, _)| id)
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request is sent.
     pub fn begin(&mut self, instance: &RunnerId, ticket: u64, now: Timestamp) {
-        let Some(asked) = self.asked.get_mut(instance) else {
+        let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        match asked.is_over(now) {
-            true => drop(self.asked.remove(instance)),
-            false => drop(asked.under_way.insert(ticket)),
+        match entry.is_expired(now) {
+            true => drop(self.entries.remove(instance)),
+            false => drop(entry.in_flight.insert(ticket)),
         }
     }
 
-    /// Notes a good answer; returns whether the instance may have more than before.
+    /// Records a successful answer; returns whether the window of the instance has grown.
     pub fn answered(&mut self, instance: &RunnerId, ticket: u64) -> bool {
-        let Some(asked) = self.asked.get_mut(instance) else {
+        let Some(entry) = self.entries.get_mut(instance) else {
             return false;
         };
-        // One that was under way before the rest tells nothing of the time after it.
-        if !asked.under_way.remove(&ticket) {
+        // A request that was sent before the backoff gives no evidence of the time after it.
+        if !entry.in_flight.remove(&ticket) {
             return false;
         }
-        asked.window += 1;
+        entry.window += 1;
         true
     }
 
-    /// Notes that a request has ended, however; returns whether the instance may have
-    /// another one in its place.
+    /// Records that a request has ended in any way; returns whether the instance accepts another
+    /// one in its place.
     pub fn ended(&mut self, instance: &RunnerId, ticket: u64) -> bool {
-        let asked = self.asked.get_mut(instance);
-        asked.is_some_and(|asked| asked.under_way.remove(&ticket))
+        let entry = self.entries.get_mut(instance);
+        entry.is_some_and(|entry| entry.in_flight.remove(&ticket))
     }
 
-    fn asked(&mut self, instance: &RunnerId, now: Timestamp) -> &mut Asked {
-        if !self.asked.contains_key(instance) {
-            self.make_room(now);
+    fn entry(&mut self, instance: &RunnerId, now: Timestamp) -> &mut Entry {
+        if !self.entries.contains_key(instance) {
+            self.evict(now);
         }
-        let asked = self.asked.entry(instance.clone()).or_insert(Asked {
-            noted_at: now,
-            rest_until: now,
-            few_until: now,
+        let entry = self.entries.entry(instance.clone()).or_insert(Entry {
+            received_at: now,
+            backoff_until: now,
+            recovery_until: now,
             leaving: false,
-            window: FIRST_WINDOW,
-            under_way: BTreeSet::new(),
+            window: INITIAL_WINDOW,
+            in_flight: BTreeSet::new(),
         });
-        asked.noted_at = now;
-        asked
+        entry.received_at = now;
+        entry
     }
 
-    /// Forgets what is over, then the oldest word, once there are too many.
-    fn make_room(&mut self, now: Timestamp) {
-        if self.asked.len() < MAX_KEPT {
+    /// Removes expired entries when the table is full, then the oldest one.
+    fn evict(&mut self, now: Timestamp) {
+        if self.entries.len() < MAX_ENTRIES {
             return;
         }
-        self.asked.retain(|_, asked| !asked.is_over(now));
-        if self.asked.len() < MAX_KEPT {
+        self.entries.retain(|_, entry| !entry.is_expired(now));
+        if self.entries.len() < MAX_ENTRIES {
             return;
         }
-        let oldest = self.asked.iter().min_by_key(|(_, asked)| asked.noted_at);
+        let oldest = self
+            .entries
+            .iter()
+            .min_by_key(|(_, entry)| entry.received_at);
         if let Some(oldest) = oldest.map(|(id, _)| id.clone()) {
-            self.asked.remove(&oldest);
+            self.entries.remove(&oldest);
         }
     }
 }
