--- a/crates/services/src/limit/local.rs
+++ b/crates/services/src/limit/local.rs
@@ -170,8 +170,8 @@
         (round - self.phase) * self.round_ms
     }
 
-    /// Earliest time in a time slot of this router that is not used; `last_used` is the last one that
-    /// is used.
+    /// Earliest time in a time slot of this router that is not used; `last_used` is the last one
+    /// that is used.
     fn next_slot(&self, last_used: Option<Timestamp>, now: Timestamp) -> Timestamp {
         let current = self.round_of(now);
         let last_used = last_used.map(|at| self.round_of(at));
--- a/crates/services/src/quarantine/local.rs
+++ b/crates/services/src/quarantine/local.rs
@@ -38,8 +38,8 @@
 }
 
 impl RouterQuarantine {
-    /// Whether requests of this content must not be sent. `has_leader` states whether the router had
-    /// contact with a leader recently.
+    /// Whether requests of this content must not be sent. `has_leader` states whether the router
+    /// had contact with a leader recently.
     #[must_use]
     pub fn is_quarantined(&self, content: &Digest, has_leader: bool) -> bool {
         if has_leader || self.quarantined.contains(content) {
--- a/crates/services/src/quota/ledger.rs
+++ b/crates/services/src/quota/ledger.rs
@@ -92,8 +92,8 @@
         !self.accounts.is_empty()
     }
 
-    /// Applies the configured quotas. Earlier use stays counted; under a lower quota it is scaled to
-    /// the same fraction, so that use that was allowed before does not exceed the new quota.
+    /// Applies the configured quotas. Earlier use stays counted; under a lower quota it is scaled
+    /// to the same fraction, so that use that was allowed before does not exceed the new quota.
     pub fn configure(&mut self, tenants: &[Tenant], now: Timestamp) {
         let settings = self.settings;
         let mut previous = std::mem::take(&mut self.accounts);
--- a/crates/services/src/quota/local.rs
+++ b/crates/services/src/quota/local.rs
@@ -123,9 +123,9 @@
         }
     }
 
-    /// Decides on a request, and counts it if it is admitted. `has_leader` states whether the router
-    /// had contact with a leader recently; `draw` is a uniformly distributed random number in
-    /// [0, 1).
+    /// Decides on a request, and counts it if it is admitted. `has_leader` states whether the
+    /// router had contact with a leader recently; `draw` is a uniformly distributed random number
+    /// in [0, 1).
     pub fn decide(
         &mut self,
         request: &LimitedRequest<'_>,
--- a/crates/services/src/selection/mod.rs
+++ b/crates/services/src/selection/mod.rs
@@ -355,8 +355,8 @@
             .begin(&candidate.instance, candidate.ticket, now);
     }
 
-    /// Records the first answer, which came `waited` after the request was sent; `succeeded` unless it
-    /// reports a failure. Returns whether an instance that recovers from a backoff accepts more
+    /// Records the first answer, which came `waited` after the request was sent; `succeeded` unless
+    /// it reports a failure. Returns whether an instance that recovers from a backoff accepts more
     /// requests now.
     pub fn first_answer(&mut self, candidate: &Candidate, waited: Millis, succeeded: bool) -> bool {
         let (instance, ticket) = (&candidate.instance, candidate.ticket);
--- a/crates/services/tests/instance_index.rs
+++ b/crates/services/tests/instance_index.rs
@@ -1,5 +1,5 @@
-//! What is found by service and model is what a look at all instances would find, after any
-//! changes, in the same order.
+//! After any sequence of changes, a lookup by service and model returns the same instances, in the
+//! same order, as a scan of all instances.
 
 use courseshunt_services::{FedInstances, InstanceState, InstanceView, ResidentModel};
 use courseshunt_types::{Millis, ModelName, RunnerId, Zone};
@@ -18,7 +18,7 @@
     RunnerId(format!("i-{number}"))
 }
 
-/// A view of one of a few instances: its service, and by bits what it holds and loads.
+/// A view of an instance; `held` and `loading` are bit sets over [`MODELS`].
 fn view(number: u8, service: usize, held: u8, loading: u8) -> InstanceView {
     let chosen = |bits: u8| {
         let models = MODELS.iter().enumerate();
@@ -59,7 +59,7 @@
 
 proptest! {
     #[test]
-    fn the_index_finds_what_a_look_at_all_finds(changes in prop::collection::vec(change(), 0..60)) {
+    fn the_index_finds_the_same_instances_as_a_scan(changes in prop::collection::vec(change(), 0..60)) {
         let mut fed = FedInstances::default();
         for change in changes {
             match change {
--- a/crates/services/tests/quarantine.rs
+++ b/crates/services/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which instances ended: the leader's count and a router's part.
+//! Quarantine of requests that terminate instances: the leader's count, and the router's side.
 
 use courseshunt_services::quarantine::MAX_ENDS;
 use courseshunt_services::{
@@ -33,21 +33,21 @@
     ledger.contents_for_routers().0.contains(&content(text))
 }
 
-/// A ledger in which these many instances ended under "a".
+/// A ledger in which this many instances terminated while running "a".
 fn ledger_with(ends: usize) -> QuarantineLedger {
     let mut ledger = QuarantineLedger::default();
     for number in 0..ends {
-        let told = at(1) + Millis(100 * number as u64);
-        ledger.ended(&end("a", &format!("i-{number}")), told);
+        let reported = at(1) + Millis(100 * number as u64);
+        ledger.ended(&end("a", &format!("i-{number}")), reported);
     }
     ledger
 }
 
-/// A ledger that is told, 340 ms after its process's start, of instances that ended under "a"
-/// so many milliseconds before.
-fn ledger_told_early(ends: [(&str, u64); 3]) -> QuarantineLedger {
+/// A ledger that receives, 340 ms after the start of its process, reports of instances that
+/// terminated while running "a", each with its age in milliseconds.
+fn ledger_with_early_reports(ends: [(&str, u64); 3]) -> QuarantineLedger {
     let mut ledger = QuarantineLedger::default();
-    let told = Timestamp::default() + Millis(340);
+    let reported = Timestamp::default() + Millis(340);
     for (instance, age) in ends {
         let age = Millis(age);
         ledger.ended(
@@ -55,37 +55,37 @@
                 age,
                 ..end("a", instance)
             },
-            told,
+            reported,
         );
     }
     ledger
 }
 
-/// The whole group had been killed and started again, and routers told the new leader of ends
-/// before its own start. From the records of a soak, in seconds of the leader's clock:
+/// After a restart of the whole group, routers reported terminations from before the new leader's
+/// start. From the records of a soak test, in seconds of the leader's clock:
 ///
 /// ```text
-/// -1.2, -0.8, -0.3   one request ends app-1, app-2 and app-1.2, as one router saw
-///  0.34              told; suspected 7, quarantined none
-///  4.65              quarantine begun, ends 3: by then it has ended nine instances
+/// -1.2, -0.8, -0.3   one request terminates app-1, app-2 and app-1.2, as observed by one router
+///  0.34              the router reports them; suspected 7, quarantined none
+///  4.65              quarantine begun, ends 3: by then nine instances have terminated
 /// ```
 ///
-/// Moments before the leader's start were all taken for the start itself: three instances
-/// lost in one moment, of which two count.
+/// Times before the leader's start were all clamped to the start: three instances that terminated
+/// at the same time, of which two count.
 #[test]
-fn ends_before_the_leaders_own_start_are_told_apart() {
-    let ledger = ledger_told_early([("app-1", 1_540), ("app-2", 1_140), ("app-1.2", 640)]);
+fn ends_before_the_leaders_start_are_distinguished_by_time() {
+    let ledger = ledger_with_early_reports([("app-1", 1_540), ("app-2", 1_140), ("app-1.2", 640)]);
     assert!(is_quarantined(&ledger, "a"));
 }
 
 #[test]
-fn instances_lost_in_one_moment_before_the_leaders_start_are_still_one_moment() {
-    let ledger = ledger_told_early([("i-1", 1_540), ("i-2", 1_520), ("i-3", 1_500)]);
+fn coincident_ends_before_the_leaders_start_stay_coincident() {
+    let ledger = ledger_with_early_reports([("i-1", 1_540), ("i-2", 1_520), ("i-3", 1_500)]);
     assert!(is_suspected(&ledger, "a") && !is_quarantined(&ledger, "a"));
 }
 
 #[test]
-fn instances_count_once_whoever_tells_and_whatever_else_they_had() {
+fn each_instance_counts_once_for_each_content() {
     let mut ledger = QuarantineLedger::default();
     for instance in ["i-1", "i-1", "i-2", "i-2", "i-1"] {
         ledger.ended(&end("a", instance), at(1));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn instances_lost_in_one_moment_put_nothing_in_quarantine_by_themselves() {
+fn coincident_ends_alone_cause_no_quarantine() {
     let mut ledger = QuarantineLedger::default();
     for number in 0..6 {
         let instance = format!("i-{number}");
@@ -113,11 +113,14 @@
     }
     assert!(is_suspected(&ledger, "a") && !is_quarantined(&ledger, "a"));
     ledger.ended(&end("a", "i-9"), at(2));
-    assert!(is_quarantined(&ledger, "a"), "one more, at another time");
+    assert!(
+        is_quarantined(&ledger, "a"),
+        "one more termination, at another time"
+    );
 }
 
 #[test]
-fn ends_that_are_told_late_count_from_when_they_were() {
+fn delayed_reports_count_at_the_time_of_the_ends() {
     let mut ledger = QuarantineLedger::default();
     for (instance, age) in [("i-1", 9_000), ("i-2", 5_000), ("i-3", 0)] {
         let age = Millis(age);
@@ -133,19 +136,25 @@
 }
 
 #[test]
-fn routers_are_told_only_when_something_has_changed() {
+fn routers_are_notified_only_of_changes() {
     let mut ledger = ledger_with(1);
-    assert!(!ledger.take_contents_changed(), "one end makes no suspect");
+    assert!(
+        !ledger.take_contents_changed(),
+        "one termination does not make a content suspected"
+    );
     ledger.ended(&end("a", "i-8"), at(1));
     assert!(ledger.take_contents_changed());
     ledger.ended(&end("a", "i-8"), at(1));
-    assert!(!ledger.take_contents_changed(), "told twice");
+    assert!(
+        !ledger.take_contents_changed(),
+        "a repeated report changes nothing"
+    );
     ledger.ended(&end("a", "i-9"), at(2));
     assert!(ledger.take_contents_changed());
 }
 
 #[test]
-fn an_answer_leaves_nothing_against_a_content() {
+fn an_answer_clears_a_content() {
     for ends in [2, 3] {
         let mut ledger = ledger_with(ends);
         ledger.answered(content("a"));
@@ -155,13 +164,13 @@
         ledger.ended(&end("a", "i-9"), at(2));
         assert!(
             !is_suspected(&ledger, "a"),
-            "its earlier ends are forgotten"
+            "its earlier terminations are cleared"
         );
     }
 }
 
 #[test]
-fn a_quarantine_outlives_its_leader_and_is_tried_again_ever_more_rarely() {
+fn a_quarantine_survives_a_change_of_leader_and_grows_with_each_repetition() {
     let recorded = ledger_with(MAX_ENDS).to_record();
     let mut ledger = QuarantineLedger::default();
     ledger.restore(&recorded, at(0));
@@ -170,19 +179,25 @@
     for longer in [1, 4, 16] {
         let length = Millis(HOUR.0 * longer);
         ledger.expire(now + length - Millis(1));
-        assert!(is_quarantined(&ledger, "a"), "before its time");
+        assert!(
+            is_quarantined(&ledger, "a"),
+            "the quarantine lasts its whole time"
+        );
         now = now + length;
         ledger.expire(now);
         assert!(is_suspected(&ledger, "a") && !is_quarantined(&ledger, "a"));
         let again = end("a", &format!("i-{longer}"));
         ledger.ended(&again, now);
-        assert!(is_quarantined(&ledger, "a"), "one more end is enough");
+        assert!(
+            is_quarantined(&ledger, "a"),
+            "one more termination is enough"
+        );
     }
-    assert!(now > at(20 * 3_600), "three tries take most of a day");
+    assert!(now > at(20 * 3_600), "three attempts take most of a day");
 }
 
 #[test]
-fn a_content_that_is_tried_again_stays_recorded() {
+fn a_content_that_may_be_sent_again_stays_recorded() {
     let mut ledger = ledger_with(MAX_ENDS);
     ledger.expire(at(2) + HOUR);
     let expected = QuarantinedContent {
@@ -193,7 +208,7 @@
 }
 
 #[test]
-fn old_ends_are_forgotten() {
+fn old_ends_are_removed() {
     let mut ledger = ledger_with(2);
     ledger.expire(at(2) + HOUR);
     ledger.ended(&end("a", "i-9"), at(3) + HOUR);
@@ -201,16 +216,19 @@
 }
 
 #[test]
-fn many_contents_are_kept_in_bounds_and_the_worst_stay() {
+fn the_number_of_contents_is_bounded_and_those_with_most_ends_stay() {
     let mut ledger = ledger_with(2);
     for number in 0..20_000 {
         ledger.ended(&end(&format!("b-{number}"), "i-9"), at(2));
     }
-    assert!(is_suspected(&ledger, "a"), "two ends outlast single ones");
+    assert!(
+        is_suspected(&ledger, "a"),
+        "contents with two terminations are evicted after those with one"
+    );
     for number in 0..300 {
         for (second, instance) in [(0, "i-1"), (1, "i-2"), (2, "i-3")] {
-            let told = at(3 + number * 3 + second);
-            ledger.ended(&end(&format!("c-{number}"), instance), told);
+            let reported = at(3 + number * 3 + second);
+            ledger.ended(&end(&format!("c-{number}"), instance), reported);
         }
     }
     assert_eq!(ledger.contents_for_routers().1.len(), 256);
@@ -218,14 +236,14 @@
 }
 
 #[test]
-fn a_router_follows_the_leader_and_without_one_what_it_saw_itself() {
+fn a_router_uses_its_own_observations_only_without_a_leader() {
     let mut router = RouterQuarantine::default();
     router.set(Vec::new(), vec![content("told")], at(1));
-    let see = |router: &mut RouterQuarantine, instance: &str, second| {
+    let observe = |router: &mut RouterQuarantine, instance: &str, second| {
         router.ended(content("seen"), RunnerId::from(instance), at(second));
     };
     for (second, instance) in [(1, "i-1"), (2, "i-2"), (3, "i-2")] {
-        see(&mut router, instance, second);
+        observe(&mut router, instance, second);
     }
     assert!(
         router.is_quarantined(&content("told"), true)
@@ -233,9 +251,9 @@
     );
     assert!(
         !router.is_quarantined(&content("seen"), false),
-        "two instances"
+        "two instances are not enough"
     );
-    see(&mut router, "i-3", 3);
+    observe(&mut router, "i-3", 3);
     assert!(router.is_quarantined(&content("seen"), false));
     assert!(
         !router.is_quarantined(&content("seen"), true),
@@ -248,12 +266,12 @@
 }
 
 #[test]
-fn a_router_vouches_for_what_it_has_answered_lately_or_answers_later() {
+fn a_router_reports_recent_and_later_answers_to_suspected_contents() {
     let mut router = RouterQuarantine::default();
     router.answered(content("old"), at(1));
     router.answered(content("new"), at(11));
-    let asked = ["old", "new", "later"].map(content).to_vec();
-    router.set(asked, Vec::new(), at(20));
+    let suspected = ["old", "new", "later"].map(content).to_vec();
+    router.set(suspected, Vec::new(), at(20));
     assert_eq!(router.take_unreported(at(20)).1, [content("new")]);
     assert!(router.answered(content("later"), at(21)));
     assert!(!router.answered(content("nobody asks"), at(21)));
@@ -261,22 +279,22 @@
 }
 
 #[test]
-fn a_new_leader_is_told_what_a_router_has_seen() {
+fn observed_ends_are_reported_again_to_a_new_leader() {
     let mut router = RouterQuarantine::default();
     router.ended(content("a"), RunnerId::from("i-1"), at(1));
     router.ended(content("a"), RunnerId::from("i-1"), at(1));
     assert_eq!(router.take_unreported(at(1)).0, [end("a", "i-1")]);
     assert!(router.take_unreported(at(2)).0.is_empty());
     router.mark_all_unreported();
-    let told = InstanceEnd {
+    let reported = InstanceEnd {
         age: Millis(4_000),
         ..end("a", "i-1")
     };
-    assert_eq!(router.take_unreported(at(5)).0, [told]);
+    assert_eq!(router.take_unreported(at(5)).0, [reported]);
 }
 
 #[test]
-fn contents_differ_by_each_of_their_parts() {
+fn digests_differ_by_each_part_of_a_content() {
     let one = RequestContent {
         tenant: Some("t"),
         method: "POST",
--- a/crates/services/tests/quota.rs
+++ b/crates/services/tests/quota.rs
@@ -1,5 +1,5 @@
-//! Accounts of tenants: each use is charged once, whatever happens to leader, routers
-//! and limits.
+//! Quota accounts of tenants: each use is charged once, whatever happens to the leader, the routers
+//! and the quotas.
 
 use courseshunt_services::{
     LimitedRequest, Quota, QuotaLedger, QuotaQuery, QuotaSettings, QuotaStep, QuotaUnit,
@@ -33,7 +33,7 @@
     ledger
 }
 
-fn asked(units: u32, rank: u8) -> QuotaQuery {
+fn query(units: u32, rank: u8) -> QuotaQuery {
     QuotaQuery {
         number: 1,
         tenant: "t".to_owned(),
@@ -59,93 +59,93 @@
     }
 }
 
-/// Whether the account has exactly this much left; at most what goes at once, 225.
+/// Whether the account admits exactly this many units now; at most the pace's capacity, 225.
 fn has_left(ledger: &mut QuotaLedger, units: u32, now: Timestamp) -> bool {
-    let all = ledger.decide("probe", &asked(units, 0), now);
-    let more = ledger.decide("probe", &asked(1, 0), now);
+    let all = ledger.decide("probe", &query(units, 0), now);
+    let more = ledger.decide("probe", &query(1, 0), now);
     all == QuotaVerdict::Granted && matches!(more, QuotaVerdict::Refused { .. })
 }
 
-/// 100 units in each of 8 seconds, and 1,000 besides.
+/// The quota admits 100 units per second for 8 s, plus a burst of 1,000.
 #[test]
-fn what_is_granted_or_told_is_counted_once_for_a_window() {
+fn granted_and_reported_use_is_counted_once_for_a_window() {
     let now = Timestamp(20_000);
     let mut ledger = ledger(1, now);
     assert_eq!(
-        ledger.decide("r", &asked(150, 0), now),
+        ledger.decide("r", &query(150, 0), now),
         QuotaVerdict::Granted
     );
     ledger.report("r", 1, &[used(1_500, 2_000)], now);
     let later = now + Millis(1_000);
     assert!(has_left(&mut ledger, 150, later));
-    let refused = ledger.decide("r", &asked(50, 0), later);
+    let refused = ledger.decide("r", &query(50, 0), later);
     assert!(
         matches!(refused, QuotaVerdict::Refused { fits_after } if fits_after == Millis(5_100)),
         "{refused:?}"
     );
-    let forgotten = now + Millis(8_100);
-    assert!(has_left(&mut ledger, 225, forgotten));
+    let expired = now + Millis(8_100);
+    assert!(has_left(&mut ledger, 225, expired));
 }
 
-/// What goes at once is a second's worth, however much of the window is left.
+/// At most the allowance of one second is granted at once, however much of the window is left.
 #[test]
-fn a_window_is_not_used_up_at_its_begin() {
+fn the_allowance_is_not_granted_at_the_start_of_a_window() {
     let now = Timestamp(20_000);
     let mut ledger = ledger(1, now);
     assert!(has_left(&mut ledger, 225, now));
-    let refused = ledger.decide("r", &asked(45, 0), now);
+    let refused = ledger.decide("r", &query(45, 0), now);
     assert!(
         matches!(refused, QuotaVerdict::Refused { fits_after } if fits_after == Millis(200)),
         "{refused:?}"
     );
     let later = now + Millis(200);
     assert_eq!(
-        ledger.decide("r", &asked(45, 0), later),
+        ledger.decide("r", &query(45, 0), later),
         QuotaVerdict::Granted
     );
 }
 
-/// Of a tenant that sends too much, the least urgent requests are refused first.
+/// For a tenant over its quota, the least urgent requests are refused first.
 #[test]
-fn urgent_requests_find_room_that_others_leave() {
+fn less_urgent_requests_leave_room_for_urgent_ones() {
     let now = Timestamp(20_000);
     let mut ledger = ledger(1, now);
     assert_eq!(
-        ledger.decide("r", &asked(130, 2), now),
+        ledger.decide("r", &query(130, 2), now),
         QuotaVerdict::Granted
     );
-    let late_rank = ledger.decide("r", &asked(10, 2), now);
-    assert!(matches!(late_rank, QuotaVerdict::Refused { .. }));
+    let low_rank = ledger.decide("r", &query(10, 2), now);
+    assert!(matches!(low_rank, QuotaVerdict::Refused { .. }));
     assert_eq!(
-        ledger.decide("r", &asked(40, 1), now),
+        ledger.decide("r", &query(40, 1), now),
         QuotaVerdict::Granted
     );
-    let middle_rank = ledger.decide("r", &asked(20, 1), now);
+    let middle_rank = ledger.decide("r", &query(20, 1), now);
     assert!(matches!(middle_rank, QuotaVerdict::Refused { .. }));
     assert_eq!(
-        ledger.decide("r", &asked(50, 0), now),
+        ledger.decide("r", &query(50, 0), now),
         QuotaVerdict::Granted
     );
 }
 
-/// A request larger than what goes at once needs a full account, and owes the rest.
+/// A request larger than the pace's capacity needs a full account, and the rest becomes debt.
 #[test]
-fn a_large_request_is_granted_now_and_then() {
+fn a_request_larger_than_the_burst_is_granted_with_a_full_account() {
     let now = Timestamp(20_000);
     let mut ledger = ledger(1, now);
     assert_eq!(
-        ledger.decide("r", &asked(5_000, 0), now),
+        ledger.decide("r", &query(5_000, 0), now),
         QuotaVerdict::Granted
     );
-    let refused = ledger.decide("r", &asked(5_000, 0), now + Millis(8_000));
+    let refused = ledger.decide("r", &query(5_000, 0), now + Millis(8_000));
     assert!(matches!(refused, QuotaVerdict::Refused { .. }));
-    let again = ledger.decide("r", &asked(5_000, 0), now + Millis(8_100));
+    let again = ledger.decide("r", &query(5_000, 0), now + Millis(8_100));
     assert_eq!(again, QuotaVerdict::Granted);
 }
 
-/// A new leader, whose process may be younger than the use that it is told.
+/// The process of a new leader may be younger than the use that is reported to it.
 #[test]
-fn a_new_leader_learns_of_earlier_use_at_its_time() {
+fn a_new_leader_counts_earlier_use_at_its_time() {
     let now = Timestamp(300);
     let mut recent = ledger(2, now);
     recent.report("r", 2, &[used(1_700, 1_800)], now);
@@ -155,12 +155,15 @@
     assert!(has_left(&mut long_ago, 225, now));
     let mut other_epoch = ledger(2, now);
     other_epoch.report("r", 1, &[used(1_700, 0)], now);
-    assert!(has_left(&mut other_epoch, 225, now), "it is told anew");
+    assert!(
+        has_left(&mut other_epoch, 225, now),
+        "the router reports the use again for the new epoch"
+    );
 }
 
-/// Half of a limit was used: that is half of a lower one.
+/// Use of half of a quota counts as half of a lower quota.
 #[test]
-fn a_lower_limit_binds_at_once_and_what_was_used_stays_counted() {
+fn a_lower_quota_applies_at_once_and_earlier_use_stays_counted() {
     let now = Timestamp(20_000);
     let mut ledger = ledger(1, now);
     ledger.report("r", 1, &[used(900, 2_000)], now);
@@ -170,37 +173,43 @@
         ..QUOTA
     };
     ledger.configure(&tenants(low), now);
-    let refused = ledger.decide("r", &asked(100, 0), now);
+    let refused = ledger.decide("r", &query(100, 0), now);
     assert!(matches!(refused, QuotaVerdict::Refused { .. }));
     assert_eq!(
-        ledger.decide("r", &asked(20, 0), now),
+        ledger.decide("r", &query(20, 0), now),
         QuotaVerdict::Granted
     );
     ledger.configure(&[], now);
-    assert_eq!(ledger.decide("r", &asked(1, 0), now), QuotaVerdict::Unknown);
+    assert_eq!(ledger.decide("r", &query(1, 0), now), QuotaVerdict::Unknown);
 }
 
-/// A router that is not heard goes on with its part; once it is heard again, what it
-/// tells replaces what was taken for granted.
+/// A disconnected router is assumed to use its recent rate; once it is in contact again, its report
+/// replaces the assumed use.
 #[test]
-fn a_lost_router_is_charged_until_it_tells() {
+fn a_disconnected_router_is_charged_until_it_reports() {
     let now = Timestamp(20_000);
     let mut ledger = ledger(1, now);
-    // 1,440 units in a window are 180 in a second.
+    // 1,440 units in a window are 180 units per second.
     ledger.report("r", 1, &[used(1_440, 2_000)], now);
     ledger.router_lost("r", now);
     let later = now + Millis(1_000);
-    assert!(has_left(&mut ledger, 180, later), "180 for the lost one");
+    assert!(
+        has_left(&mut ledger, 180, later),
+        "180 units are assumed for the disconnected router"
+    );
     ledger.report("r", 1, &[used(50, 500)], later);
     let again = later + Millis(1_000);
-    assert!(has_left(&mut ledger, 130, again), "180 back, 50 used");
+    assert!(
+        has_left(&mut ledger, 130, again),
+        "180 assumed units are replaced by 50 reported ones"
+    );
     ledger.router_lost("r", again);
     let long_after = again + Millis(16_000);
-    assert!(has_left(&mut ledger, 225, long_after), "nothing for ever");
+    assert!(has_left(&mut ledger, 225, long_after), "assumed use ends");
 }
 
 #[test]
-fn a_router_asks_only_where_the_account_is_guarded() {
+fn a_router_queries_the_leader_only_near_the_limit() {
     let now = Timestamp(1_000);
     let mut ledger = ledger(7, now);
     let mut router = RouterQuotas::new(SETTINGS, 2);
@@ -209,15 +218,21 @@
     assert_eq!(step, QuotaStep::Admit);
     let (epoch, uses) = router.take_report(now);
     assert_eq!((epoch, uses.len(), uses[0].units), (7, 1, 1_300));
-    assert!(router.take_report(now).1.is_empty(), "told once");
+    assert!(router.take_report(now).1.is_empty(), "use is reported once");
     ledger.report("r", epoch, &uses, now);
-    assert!(ledger.take_status_changed(), "guarded from now on");
+    assert!(
+        ledger.take_status_changed(),
+        "the account is near its limit from now on"
+    );
     router.set_account_statuses(7, ledger.account_statuses(now), now);
     let step = router.decide(&request(700, 1), true, 0.5, now);
     assert_eq!(step, QuotaStep::Query);
-    router.refused(&asked(700, 1), Millis(1_000), now);
+    router.refused(&query(700, 1), Millis(1_000), now);
     let refused = router.decide(&request(800, 1), true, 0.5, now);
-    assert!(matches!(refused, QuotaStep::Refuse { .. }), "no question");
+    assert!(
+        matches!(refused, QuotaStep::Refuse { .. }),
+        "refused without a query"
+    );
     let smaller = router.decide(&request(100, 1), true, 0.5, now);
     assert_eq!(smaller, QuotaStep::Query);
     let more_urgent = router.decide(&request(700, 0), true, 0.5, now);
@@ -228,24 +243,30 @@
 }
 
 #[test]
-fn what_did_not_run_is_given_back() {
+fn requests_that_did_not_run_are_refunded() {
     let now = Timestamp(1_000);
     let mut router = RouterQuotas::new(SETTINGS, 2);
     router.set_account_statuses(7, Vec::new(), now);
     router.decide(&request(400, 1), true, 0.5, now);
     router.refund("t", 400, now, now);
-    assert!(router.take_report(now).1.is_empty(), "nothing to tell");
+    assert!(
+        router.take_report(now).1.is_empty(),
+        "there is no use to report"
+    );
     router.granted(&request(300, 1), now);
-    assert!(router.take_report(now).1.is_empty(), "the leader knows");
+    assert!(
+        router.take_report(now).1.is_empty(),
+        "the leader has counted it"
+    );
     router.refund("t", 300, now, now);
     let (_, uses) = router.take_report(now);
     assert_eq!(uses[0].units, -300);
 }
 
-/// Another leader is told all that was used in the last window, also what its
-/// predecessor knew.
+/// All use of the last window is reported to a new leader, including the use that was reported to
+/// its predecessor.
 #[test]
-fn another_leader_is_told_anew() {
+fn use_is_reported_again_to_a_new_leader() {
     let now = Timestamp(1_000);
     let mut router = RouterQuotas::new(SETTINGS, 2);
     router.set_account_statuses(7, Vec::new(), now);
@@ -258,16 +279,17 @@
     assert_eq!((epoch, uses[0].units, uses[0].age), (8, 700, Millis(2_000)));
 }
 
-/// Without a leader a router has its own part of the limit, and no more.
+/// Without a leader, a router admits its local share of the quota and the allowed debt, and no
+/// more.
 #[test]
-fn alone_a_router_spends_its_part() {
+fn without_a_leader_a_router_spends_its_local_share() {
     let mut router = RouterQuotas::new(SETTINGS, 4);
     let mut admitted = 0;
     for now in 1_000..21_000 {
         let step = router.decide(&request(10, 1), false, 0.5, Timestamp(now));
         admitted += u32::from(step == QuotaStep::Admit) * 10;
     }
-    // A quarter of burst and rate, and two more quarters of the burst.
+    // A quarter of burst and rate, plus a debt of two quarters of the burst.
     let most = 250 + 20 * 25 + 500 + 10;
     assert!((700..=most).contains(&admitted), "{admitted} of {most}");
 }
--- a/crates/services/tests/quota_fleet/mod.rs
+++ b/crates/services/tests/quota_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of routers and a leader in virtual time, one tenant's requests, and what
-//! the ways to keep its limit do with them.
+//! Simulation of a fleet of routers with a leader, the requests of one tenant, and the strategies
+//! to enforce the tenant's quota.
 
 use courseshunt_services::quota::history::History;
 use courseshunt_services::{
@@ -10,27 +10,27 @@
 use rand_pcg::Pcg64;
 use rand_pcg::rand_core::Rng as _;
 
-/// Time between a router's reports, and between the leader's words on all accounts.
+/// Interval of a router's reports, and of the leader's notices of all account statuses, in
+/// milliseconds.
 const REPORT_INTERVAL: u64 = 240;
-const STANDINGS_INTERVAL: u64 = 1_000;
-/// Way of a message.
+const STATUS_INTERVAL: u64 = 1_000;
+/// Delay of a message, in milliseconds.
 const DELAY: u64 = 5;
-/// A leader is missed after so long.
-const SILENCE: u64 = 1_000;
+/// Time without contact after which a router has no leader, in milliseconds.
+const CONTACT_TIMEOUT: u64 = 1_000;
 const LENGTH: u64 = 40_000;
-/// The tenant sends many times its usual within this span.
+/// The span with a multiple of the tenant's usual load, in milliseconds.
 const HOT: std::ops::Range<u64> = 10_000..21_000;
 const TENANT: &str = "t";
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Way {
-    EqualParts,
-    ToldSums,
-    AskNearLimit,
+pub enum Strategy {
+    EqualShares,
+    ReportedSums,
+    QueryNearLimit,
 }
 
-/// What a tenant sends: its usual part of the limit, and how many times that in the
-/// hot span.
+/// Load of a tenant: the usual fraction of the quota, and its multiple in the span [`HOT`].
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
     pub quota: Quota,
@@ -41,74 +41,74 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet {
     routers: usize,
-    /// No leader in this span; the one after it knows nothing.
+    /// Span without a leader; the next leader starts without any use.
     leaderless: Option<(u64, u64)>,
-    /// This part of the routers hears no leader in this span.
-    cut: Option<(f64, u64, u64)>,
-    /// This part of the routers ends then and starts anew a second later.
+    /// This fraction of the routers has no contact with a leader in this span.
+    partitioned: Option<(f64, u64, u64)>,
+    /// This fraction of the routers is killed at this time and replaced by new routers.
     killed: Option<(f64, u64)>,
 }
 
 impl Fleet {
-    pub fn calm(routers: usize) -> Self {
+    pub fn steady(routers: usize) -> Self {
         Self {
             routers,
             leaderless: None,
-            cut: None,
+            partitioned: None,
             killed: None,
         }
     }
 
-    pub fn leader_dies(routers: usize) -> Self {
+    pub fn leader_fails(routers: usize) -> Self {
         Self {
             leaderless: Some((13_000, 16_500)),
-            ..Self::calm(routers)
+            ..Self::steady(routers)
         }
     }
 
-    pub fn part_cut_off(routers: usize, part: f64) -> Self {
+    pub fn partly_partitioned(routers: usize, fraction: f64) -> Self {
         Self {
-            cut: Some((part, 12_000, 18_000)),
-            ..Self::calm(routers)
+            partitioned: Some((fraction, 12_000, 18_000)),
+            ..Self::steady(routers)
         }
     }
 
-    pub fn part_killed(routers: usize, part: f64) -> Self {
+    pub fn partly_killed(routers: usize, fraction: f64) -> Self {
         Self {
-            killed: Some((part, 14_000)),
-            ..Self::calm(routers)
+            killed: Some((fraction, 14_000)),
+            ..Self::steady(routers)
         }
     }
 
-    fn is_led(&self, router: usize, now: u64) -> bool {
-        let led = self
+    fn has_leader(&self, router: usize, now: u64) -> bool {
+        let has_leader = self
             .leaderless
             .is_none_or(|(from, to)| now < from || now >= to);
-        let part = |part: f64| (router as f64) < part * self.routers as f64;
-        led && self
-            .cut
-            .is_none_or(|(cut, from, to)| !part(cut) || now < from || now >= to)
+        let is_affected = |fraction: f64| (router as f64) < fraction * self.routers as f64;
+        has_leader
+            && self.partitioned.is_none_or(|(partitioned, from, to)| {
+                !is_affected(partitioned) || now < from || now >= to
+            })
     }
 
-    fn dies(&self, router: usize, now: u64) -> bool {
-        let part = |part: f64| (router as f64) < part * self.routers as f64;
+    fn is_killed(&self, router: usize, now: u64) -> bool {
+        let is_affected = |fraction: f64| (router as f64) < fraction * self.routers as f64;
         self.killed
-            .is_some_and(|(killed, at)| part(killed) && now == at)
+            .is_some_and(|(killed, at)| is_affected(killed) && now == at)
     }
 }
 
-/// Parts of the limit.
+/// Result of a simulation.
 #[derive(Debug, Clone, Copy)]
 pub struct Outcome {
-    /// Most that was used in a window beyond what the leader grants, as part of the
-    /// limit.
+    /// Largest use in a window beyond the leader's allowance, as a fraction of the quota.
     pub over_allowance: f64,
-    /// Most that was used in a window beyond limit, overshoot and slack, in units.
+    /// Largest use in a window beyond quota, overshoot and slack, in units.
     pub over_bound: f64,
-    /// Units refused that were within the limit, of all that were.
+    /// Fraction of the units within the quota that were refused.
     pub refused_below: f64,
-    /// Questions to the leader in a second.
-    pub asks_per_second: f64,
+    /// Queries to the leader per second.
+    pub queries_per_second: f64,
 }
 
 impl Outcome {
@@ -117,7 +117,7 @@
             over_allowance: self.over_allowance.max(other.over_allowance),
             over_bound: self.over_bound.max(other.over_bound),
             refused_below: self.refused_below.max(other.refused_below),
-            asks_per_second: self.asks_per_second.max(other.asks_per_second),
+            queries_per_second: self.queries_per_second.max(other.queries_per_second),
         }
     }
 }
@@ -128,24 +128,25 @@
     units: u32,
 }
 
-fn even(random: &mut Pcg64) -> f64 {
+fn uniform(random: &mut Pcg64) -> f64 {
     (random.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// Requests of exponential sizes, in the mean of 9,000 units or a tenth of the rate.
+/// Requests of exponentially distributed sizes, with a mean of 9,000 units or a third of the rate
+/// per second, whichever is smaller.
 fn requests(fleet: Fleet, load: Load, random: &mut Pcg64) -> Vec<Request> {
     let mean = 9_000.0_f64.min(load.quota.rate_per_second / 3.0);
     let mut requests = Vec::new();
     for at in 0..LENGTH {
-        let times = if HOT.contains(&at) { load.hot } else { 1.0 };
-        let expected = load.quota.rate_per_second * load.usual * times / mean / 1_000.0;
+        let factor = if HOT.contains(&at) { load.hot } else { 1.0 };
+        let expected = load.quota.rate_per_second * load.usual * factor / mean / 1_000.0;
         let mut left = expected;
-        while even(random) < left {
+        while uniform(random) < left {
             left -= 1.0;
-            let units = (-mean * (1.0 - even(random)).ln()).clamp(200.0, 45_000.0);
+            let units = (-mean * (1.0 - uniform(random)).ln()).clamp(200.0, 45_000.0);
             requests.push(Request {
                 at,
-                router: (even(random) * fleet.routers as f64) as usize,
+                router: (uniform(random) * fleet.routers as f64) as usize,
                 units: units as u32,
             });
         }
@@ -153,8 +154,8 @@
     requests
 }
 
-/// Units that were refused although one account for the whole fleet would have had
-/// them, as part of what that account admits.
+/// Units that were refused although one account for the whole fleet would have admitted them, as a
+/// fraction of the units that this account admits.
 fn refused_below(
     requests: &[Request],
     load: Load,
@@ -175,7 +176,7 @@
     (1.0 - used / ideal).max(0.0)
 }
 
-/// A part of the limit, kept by itself.
+/// An independent account with a share of the quota.
 #[derive(Clone)]
 struct Account {
     allowance: f64,
@@ -183,11 +184,11 @@
 }
 
 impl Account {
-    fn new(part: f64, load: Load, settings: QuotaSettings) -> Self {
+    fn new(share: f64, load: Load, settings: QuotaSettings) -> Self {
         let quota = load.quota;
         let limit = quota.rate_per_second * settings.window.as_secs_f64() + quota.burst;
         Self {
-            allowance: limit * part,
+            allowance: limit * share,
             history: History::new(Millis(1), settings.window),
         }
     }
@@ -206,23 +207,32 @@
     }
 }
 
-pub fn play(way: Way, fleet: Fleet, load: Load, settings: QuotaSettings, seed: u64) -> Outcome {
+pub fn simulate(
+    strategy: Strategy,
+    fleet: Fleet,
+    load: Load,
+    settings: QuotaSettings,
+    seed: u64,
+) -> Outcome {
     let mut random = Pcg64::new(u128::from(seed), 0xa02b_dbf7_bb3c_0a7a_c28f_a16a_64ab_f96f);
     let requests = requests(fleet, load, &mut random);
-    let (admitted, asks) = match way {
-        Way::EqualParts => (equal_parts(fleet, load, settings, &requests), 0),
-        Way::ToldSums => (told_sums(fleet, load, settings, &requests, &mut random), 0),
-        Way::AskNearLimit => ask_near_limit(fleet, load, settings, &requests, &mut random),
+    let (admitted, queries) = match strategy {
+        Strategy::EqualShares => (equal_shares(fleet, load, settings, &requests), 0),
+        Strategy::ReportedSums => (
+            reported_sums(fleet, load, settings, &requests, &mut random),
+            0,
+        ),
+        Strategy::QueryNearLimit => query_near_limit(fleet, load, settings, &requests, &mut random),
     };
-    judge(load, settings, &requests, &admitted, asks)
+    evaluate(load, settings, &requests, &admitted, queries)
 }
 
-fn judge(
+fn evaluate(
     load: Load,
     settings: QuotaSettings,
     requests: &[Request],
     admitted: &[bool],
-    asks: u64,
+    queries: u64,
 ) -> Outcome {
     let rate = load.quota.rate_per_second;
     let limit = rate * settings.window.as_secs_f64() + load.quota.burst;
@@ -246,11 +256,11 @@
         over_allowance: (most - settings.allowance(&load.quota)) / limit,
         over_bound: most - bound,
         refused_below: refused_below(requests, load, settings, admitted),
-        asks_per_second: asks as f64 * 1_000.0 / LENGTH as f64,
+        queries_per_second: queries as f64 * 1_000.0 / LENGTH as f64,
     }
 }
 
-fn equal_parts(
+fn equal_shares(
     fleet: Fleet,
     load: Load,
     settings: QuotaSettings,
@@ -263,8 +273,9 @@
     admitted.collect()
 }
 
-/// The leader tells the part that may be admitted, from what arrived and what is left.
-fn told_sums(
+/// The leader publishes the probability of admission, from the reported arrivals and the units
+/// left.
+fn reported_sums(
     fleet: Fleet,
     load: Load,
     settings: QuotaSettings,
@@ -273,7 +284,7 @@
 ) -> Vec<bool> {
     let mut account = Account::new(1.0, load, settings);
     let (mut arrived, mut used) = (vec![0.0; fleet.routers], vec![0_i64; fleet.routers]);
-    let (mut arrivals, mut told, mut chance) = (0.0, 1.0, 1.0);
+    let (mut arrivals, mut published, mut probability) = (0.0, 1.0, 1.0);
     let mut next = 0;
     let mut admitted = vec![false; requests.len()];
     for now in 0..LENGTH {
@@ -285,15 +296,15 @@
             }
         }
         if now.is_multiple_of(REPORT_INTERVAL) {
-            chance = told;
-            told = (account.left(now) / f64::max(arrivals, 1.0)).clamp(0.0, 1.0);
+            probability = published;
+            published = (account.left(now) / f64::max(arrivals, 1.0)).clamp(0.0, 1.0);
             arrivals = 0.0;
         }
         while requests.get(next).is_some_and(|one| one.at == now) {
             let request = &requests[next];
             let units = f64::from(request.units);
             arrived[request.router] += units;
-            if even(random) < chance {
+            if uniform(random) < probability {
                 used[request.router] += i64::from(request.units);
                 admitted[next] = true;
             }
@@ -306,11 +317,11 @@
 struct Router {
     name: String,
     quotas: RouterQuotas,
-    heard: u64,
+    last_contact: u64,
     session: bool,
 }
 
-fn ask_near_limit(
+fn query_near_limit(
     fleet: Fleet,
     load: Load,
     settings: QuotaSettings,
@@ -332,47 +343,47 @@
     let new_router = |number: usize| Router {
         name: number.to_string(),
         quotas: RouterQuotas::new(settings, count),
-        heard: 0,
+        last_contact: 0,
         session: false,
     };
     let mut ledger = new_ledger(1, Timestamp(0));
     let mut routers: Vec<Router> = (0..fleet.routers).map(new_router).collect();
     let mut admitted = vec![false; requests.len()];
-    let (mut next, mut asks) = (0, 0);
+    let (mut next, mut queries) = (0, 0);
     for now in 0..LENGTH {
         let at = Timestamp::at(now);
         if fleet.leaderless.is_some_and(|(_, to)| now == to) {
             ledger = new_ledger(2, at);
         }
-        let tells = ledger.take_status_changed() || now.is_multiple_of(STANDINGS_INTERVAL);
-        let standings = if tells {
+        let publishes = ledger.take_status_changed() || now.is_multiple_of(STATUS_INTERVAL);
+        let statuses = if publishes {
             ledger.account_statuses(at)
         } else {
             Vec::new()
         };
         for (number, router) in routers.iter_mut().enumerate() {
-            if fleet.dies(number, now) {
+            if fleet.is_killed(number, now) {
                 ledger.router_lost(&router.name, at);
                 *router = new_router(number);
             }
-            let led = fleet.is_led(number, now);
-            let begins = led && !router.session;
-            if router.session && !led {
+            let has_leader = fleet.has_leader(number, now);
+            let connects = has_leader && !router.session;
+            if router.session && !has_leader {
                 ledger.router_lost(&router.name, at);
             }
-            router.session = led;
-            if !led {
+            router.session = has_leader;
+            if !has_leader {
                 continue;
             }
-            router.heard = now;
-            if tells || begins {
-                let standings = match begins {
+            router.last_contact = now;
+            if publishes || connects {
+                let statuses = match connects {
                     true => ledger.account_statuses(at),
-                    false => standings.clone(),
+                    false => statuses.clone(),
                 };
                 router
                     .quotas
-                    .set_account_statuses(ledger.epoch(), standings, at);
+                    .set_account_statuses(ledger.epoch(), statuses, at);
             }
             if (now + number as u64).is_multiple_of(REPORT_INTERVAL) {
                 let (epoch, uses) = router.quotas.take_report(at);
@@ -382,15 +393,16 @@
         while requests.get(next).is_some_and(|one| one.at == now) {
             let request = &requests[next];
             let router = &mut routers[request.router];
-            let led = router.session || now - router.heard < SILENCE && router.heard > 0;
+            let has_leader = router.session
+                || now - router.last_contact < CONTACT_TIMEOUT && router.last_contact > 0;
             let limited = LimitedRequest {
                 tenant: TENANT,
                 quota: &load.quota,
                 units: request.units,
                 rank: 0,
             };
-            let draw = even(random);
-            let step = router.quotas.decide(&limited, led, draw, at);
+            let draw = uniform(random);
+            let step = router.quotas.decide(&limited, has_leader, draw, at);
             admitted[next] = match step {
                 QuotaStep::Admit => true,
                 QuotaStep::Refuse { .. } => false,
@@ -399,22 +411,22 @@
                     step == QuotaStep::Admit
                 }
                 QuotaStep::Query => {
-                    asks += 1;
-                    let then = Timestamp::at(now + DELAY);
-                    let ask = QuotaQuery {
-                        number: asks,
+                    queries += 1;
+                    let arrival = Timestamp::at(now + DELAY);
+                    let query = QuotaQuery {
+                        number: queries,
                         tenant: TENANT.to_owned(),
                         units: limited.units,
                         rank: limited.rank,
                     };
-                    match ledger.decide(&router.name, &ask, then) {
+                    match ledger.decide(&router.name, &query, arrival) {
                         QuotaVerdict::Granted => {
                             router.quotas.granted(&limited, at);
                             true
                         }
                         QuotaVerdict::Refused { fits_after } => {
                             let back = Timestamp::at(now + 2 * DELAY);
-                            router.quotas.refused(&ask, fits_after, back);
+                            router.quotas.refused(&query, fits_after, back);
                             false
                         }
                         QuotaVerdict::Unknown => false,
@@ -424,5 +436,5 @@
             next += 1;
         }
     }
-    (admitted, asks)
+    (admitted, queries)
 }
--- a/crates/services/tests/selection.rs
+++ b/crates/services/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Selection by predicted first answer.
+//! Selection of instances by the predicted time to the first answer.
 
 use courseshunt_services::{
     InstanceState, InstanceUsage, InstanceView, PrefixPart, PromptShape, ResidentModel, Selector,
@@ -60,31 +60,36 @@
 }
 
 #[test]
-fn requests_of_one_subject_share_a_home_at_all_routers() {
+fn requests_with_one_prefix_share_a_preferred_instance_at_all_routers() {
     let views: Vec<InstanceView> = ["a", "b", "c", "d"]
         .iter()
         .map(|id| view(id, "z", &[("m", &[])]))
         .collect();
     for subject in 10..30 {
-        let homes = ["z", "z", "y"].map(|zone| {
+        let preferred_instances = ["z", "z", "y"].map(|zone| {
             let mut selector = Selector::new(Zone::from(zone));
             let chosen = selector.choose(&shape("m", None, subject), views.iter(), &[], LIMIT, NOW);
             chosen.expect("a holder").instance
         });
-        assert!(homes.iter().all(|home| *home == homes[0]), "{homes:?}");
+        assert!(
+            preferred_instances
+                .iter()
+                .all(|preferred| *preferred == preferred_instances[0]),
+            "{preferred_instances:?}"
+        );
     }
 }
 
 #[test]
-fn a_busy_home_is_left_for_an_idle_instance() {
+fn a_busy_preferred_instance_is_avoided_for_an_idle_one() {
     let views = [view("a", "z", &[("m", &[])]), view("b", "z", &[("m", &[])])];
     let mut selector = Selector::new(Zone::from("z"));
     let wanted = shape("m", None, 5);
-    let home = selector.choose(&wanted, views.iter(), &[], LIMIT, NOW);
-    let home = home.expect("a holder").instance;
+    let preferred = selector.choose(&wanted, views.iter(), &[], LIMIT, NOW);
+    let preferred = preferred.expect("a holder").instance;
     selector.set_usage(
         &[InstanceUsage {
-            instance: home.clone(),
+            instance: preferred.clone(),
             in_flight: 10,
             prompt_tokens: 60_000,
         }],
@@ -92,11 +97,11 @@
         NOW,
     );
     let other = selector.choose(&wanted, views.iter(), &[], LIMIT, NOW);
-    assert_ne!(other.expect("a holder").instance, home);
+    assert_ne!(other.expect("a holder").instance, preferred);
 }
 
-/// What routers choose that know the same: instances with the requests they got.
-fn herd(late: Millis, routers: u64) -> std::collections::BTreeMap<String, usize> {
+/// Number of selections per instance, by routers that have the same usage data of age `age`.
+fn selections_by_age(age: Millis, routers: u64) -> std::collections::BTreeMap<String, usize> {
     let views: Vec<InstanceView> = ["a", "b", "c", "d", "e", "f", "g", "h"]
         .map(|id| view(id, "z", &[("m", &[])]))
         .to_vec();
@@ -112,7 +117,7 @@
     let mut chosen = std::collections::BTreeMap::new();
     for router in 0..routers {
         let mut selector = Selector::new(Zone::from("z")).seeded(router);
-        selector.set_usage(&usage, late, NOW);
+        selector.set_usage(&usage, age, NOW);
         let plain = PromptShape {
             parts: Vec::new(),
             ..shape("m", None, router)
@@ -123,58 +128,59 @@
     chosen
 }
 
-/// Many routers that were told the same, some time ago, don't all send to the
-/// instance that was idle then; without that time they do.
+/// Routers with the same usage data of some age must not all send to the instance that was idle
+/// at that time. With current data, they do.
 #[test]
-fn what_is_known_late_does_not_draw_all_routers_to_one_instance() {
-    let at_once = herd(Millis(0), 160);
-    assert_eq!(at_once.get("a"), Some(&160), "{at_once:?}");
-    let late = herd(Millis(720), 160);
-    let most = late.values().max();
-    assert!(most < Some(&50), "{late:?}");
-    assert!(late.len() >= 6, "{late:?}");
-    assert!(late.get("a") >= late.get("h"), "{late:?}");
+fn delayed_usage_does_not_send_all_routers_to_one_instance() {
+    let current = selections_by_age(Millis(0), 160);
+    assert_eq!(current.get("a"), Some(&160), "{current:?}");
+    let delayed = selections_by_age(Millis(720), 160);
+    let most = delayed.values().max();
+    assert!(most < Some(&50), "{delayed:?}");
+    assert!(delayed.len() >= 6, "{delayed:?}");
+    assert!(delayed.get("a") >= delayed.get("h"), "{delayed:?}");
 }
 
-/// What routers know late does not draw them away from the home of a prompt.
+/// The estimate of unreported work must not divert requests from an idle preferred instance.
 #[test]
-fn an_idle_home_is_kept_whatever_may_have_been_sent() {
+fn an_idle_preferred_instance_is_selected_despite_unreported_work() {
     let views = [view("a", "z", &[("m", &[])]), view("b", "z", &[("m", &[])])];
     let wanted = shape("m", None, 5);
-    let mut homes = std::collections::BTreeSet::new();
+    let mut preferred_instances = std::collections::BTreeSet::new();
     for router in 0..100 {
         let mut selector = Selector::new(Zone::from("z")).seeded(router);
         selector.set_usage(&[], Millis(720), NOW);
-        let home = selector.choose(&wanted, views.iter(), &[], LIMIT, NOW);
-        homes.insert(home.expect("a holder").instance);
+        let preferred = selector.choose(&wanted, views.iter(), &[], LIMIT, NOW);
+        preferred_instances.insert(preferred.expect("a holder").instance);
     }
-    assert_eq!(homes.len(), 1, "{homes:?}");
+    assert_eq!(preferred_instances.len(), 1, "{preferred_instances:?}");
 }
 
-/// What others had to read when it was told is read by and by.
+/// Pending prompt tokens of other routers decrease after their report, as the instance processes
+/// them.
 #[test]
-fn what_was_unread_is_forgotten_at_the_speed_of_reading() {
+fn reported_pending_tokens_decrease_at_the_processing_rate() {
     let views = [view("a", "z", &[("m", &[])]), view("b", "z", &[("m", &[])])];
     let mut selector = Selector::new(Zone::from("z"));
     let plain = PromptShape {
         parts: Vec::new(),
         ..shape("m", None, 1)
     };
-    let told = |instance: &str, in_flight, prompt_tokens| InstanceUsage {
+    let usage = |instance: &str, in_flight, prompt_tokens| InstanceUsage {
         instance: RunnerId::from(instance),
         in_flight,
         prompt_tokens,
     };
-    selector.set_usage(&[told("a", 1, 20_000), told("b", 3, 0)], Millis(0), NOW);
-    let at_first = selector.choose(&plain, views.iter(), &[], LIMIT, NOW);
-    assert_eq!(at_first.expect("a holder").instance.as_str(), "b");
+    selector.set_usage(&[usage("a", 1, 20_000), usage("b", 3, 0)], Millis(0), NOW);
+    let initially = selector.choose(&plain, views.iter(), &[], LIMIT, NOW);
+    assert_eq!(initially.expect("a holder").instance.as_str(), "b");
     let later = NOW + Millis(600);
     let then = selector.choose(&plain, views.iter(), &[], LIMIT, later);
     assert_eq!(then.expect("a holder").instance.as_str(), "a");
 }
 
 #[test]
-fn a_suspect_is_avoided_while_others_can_serve() {
+fn a_suspect_instance_is_avoided_while_others_are_eligible() {
     let views = [view("a", "z", &[]), view("b", "z", &[])];
     let mut selector = Selector::new(Zone::from("z"));
     let plain = PromptShape::default();
@@ -194,7 +200,7 @@
 }
 
 #[test]
-fn own_requests_at_one_instance_are_bounded() {
+fn requests_of_one_router_at_one_instance_are_bounded() {
     let views = [view("a", "z", &[])];
     let mut selector = Selector::new(Zone::from("z"));
     let plain = PromptShape::default();
@@ -210,7 +216,7 @@
 }
 
 #[test]
-fn a_slow_instance_is_noticed() {
+fn a_slow_instance_gets_few_requests() {
     let views = [view("a", "z", &[("m", &[])]), view("b", "z", &[("m", &[])])];
     let mut selector = Selector::new(Zone::from("z"));
     for number in 0..20 {
@@ -235,23 +241,24 @@
 }
 
 #[test]
-fn an_instance_that_was_not_reached_is_left_out_for_a_while() {
+fn an_unreachable_instance_is_excluded_temporarily() {
     let views = [view("a", "z", &[("m", &[])])];
     let mut selector = Selector::new(Zone::from("z"));
     let wanted = shape("m", None, 5);
     let instance = RunnerId::from("a");
     selector.unreachable(&instance, NOW);
     let chosen = selector.choose(&wanted, views.iter(), &[], LIMIT, NOW);
-    assert!(chosen.is_none(), "it is the only one, and dead");
+    assert!(chosen.is_none(), "the only instance is unreachable");
     assert_eq!(selector.all_unreachable(NOW), [instance]);
     let later = Timestamp(NOW.0 + 1_500);
     let chosen = selector.choose(&wanted, views.iter(), &[], LIMIT, later);
-    assert!(chosen.is_some(), "it is tried again");
+    assert!(chosen.is_some(), "the instance is tried again");
 }
 
-/// An instance that turns a request away has read nothing of its prompt.
+/// An instance that rejects a request has not processed its prompt, so the prompt must not count as
+/// cached there.
 #[test]
-fn a_prompt_that_was_turned_away_is_not_taken_for_kept() {
+fn a_rejected_prompt_does_not_count_as_cached() {
     let views = [view("a", "z", &[("m", &[])])];
     let mut selector = Selector::new(Zone::from("z"));
     let wanted = shape("m", None, 7);
@@ -263,14 +270,14 @@
         chosen
     };
     let first = send(&mut selector, NOW);
-    let beside = send(&mut selector, NOW + Millis(1));
-    for one in [&first, &beside] {
+    let second = send(&mut selector, NOW + Millis(1));
+    for one in [&first, &second] {
         selector.rejected(one);
         selector.end(one, false);
     }
     let second = send(&mut selector, NOW + Millis(10));
     assert_eq!(second.uncached_tokens, first.uncached_tokens);
-    // What was kept before stays kept, and so does what was sent meanwhile.
+    // A prefix that was cached before stays cached, and so does one that was sent meanwhile.
     selector.first_answer(&second, Millis(20), true);
     selector.end(&second, true);
     let third = send(&mut selector, NOW + Millis(20));
@@ -283,14 +290,14 @@
     assert_eq!(fifth.uncached_tokens, 0);
 }
 
-/// An answer that the instance is another one, or lacks the model, holds for all requests
-/// that ask for the same there, until the instance is told anew.
+/// After an instance answers that it is another one, or does not have the model, it is sent no
+/// requests for the same model and adapter until a backoff ends or its models are updated.
 #[test]
-fn what_an_instance_said_it_lacks_is_not_asked_for_there() {
+fn a_missing_model_is_not_requested_again_during_its_backoff() {
     let views = [view("a", "z", &[("m", &["a1"]), ("n", &[])])];
     let mut selector = Selector::new(Zone::from("z"));
     let wanted = shape("m", Some("a1"), 7);
-    let asks = |selector: &mut Selector, shape: &PromptShape, now| {
+    let is_sent = |selector: &mut Selector, shape: &PromptShape, now| {
         let chosen = selector.choose(shape, views.iter(), &[], LIMIT, now);
         chosen.is_some()
     };
@@ -299,14 +306,14 @@
     for length in [200, 400, 800, 1_600, 3_200, 3_200] {
         selector.note_missing(&a, &wanted, now);
         let last = now + Millis(length) - Millis(1);
-        assert!(!asks(&mut selector, &wanted, last), "{length}");
+        assert!(!is_sent(&mut selector, &wanted, last), "{length}");
         assert_eq!(selector.missing_for(&a, &wanted, last), Some(Millis(1)));
-        assert!(asks(&mut selector, &shape("m", None, 8), last));
-        assert!(asks(&mut selector, &shape("n", None, 8), last));
+        assert!(is_sent(&mut selector, &shape("m", None, 8), last));
+        assert!(is_sent(&mut selector, &shape("n", None, 8), last));
         now = now + Millis(length);
-        assert!(asks(&mut selector, &wanted, now), "{length}");
+        assert!(is_sent(&mut selector, &wanted, now), "{length}");
     }
     selector.note_missing(&a, &wanted, now);
     selector.models_updated(&a);
-    assert!(asks(&mut selector, &wanted, now));
+    assert!(is_sent(&mut selector, &wanted, now));
 }
--- a/crates/services/tests/selection_health.rs
+++ b/crates/services/tests/selection_health.rs
@@ -1,4 +1,4 @@
-//! Instances that fail a part of their requests, or answer nothing at all.
+//! Instances that fail some of their requests, or send no answers.
 
 use courseshunt_services::{
     Candidate, InstanceState, InstanceView, PromptShape, ResidentModel, Selector,
@@ -8,19 +8,19 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Time between requests.
+/// Time between requests, in milliseconds.
 const STEP: u64 = 50;
-/// Time until an instance's first answer.
+/// Time to an instance's first answer, in milliseconds.
 const ANSWER: u64 = 30;
 const LIMIT: u32 = 50;
 
-/// What an instance does with a request.
+/// Behaviour of an instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Conduct {
-    Good,
-    /// Fails so many of a hundred.
+enum Behaviour {
+    Healthy,
+    /// Fails this percentage of requests.
     Fails(u32),
-    Mute,
+    Unresponsive,
 }
 
 fn view(id: &str, model: &str) -> InstanceView {
@@ -41,16 +41,16 @@
     }
 }
 
-/// Requests that went to each instance, out of `requests`.
-fn play(
+/// Number of requests sent to each instance, out of `requests`.
+fn simulate(
     model: &str,
-    conducts: &[(&str, Conduct)],
+    behaviours: &[(&str, Behaviour)],
     requests: u64,
     seed: u64,
 ) -> BTreeMap<String, u64> {
     let mut random = Pcg32::seed_from_u64(seed);
-    let views: Vec<InstanceView> = conducts.iter().map(|(id, _)| view(id, model)).collect();
-    let conducts: BTreeMap<&str, Conduct> = conducts.iter().copied().collect();
+    let views: Vec<InstanceView> = behaviours.iter().map(|(id, _)| view(id, model)).collect();
+    let behaviours: BTreeMap<&str, Behaviour> = behaviours.iter().copied().collect();
     let mut selector = Selector::new(Zone::from("z"));
     let mut sent = BTreeMap::new();
     let mut answers: Vec<(u64, Candidate)> = Vec::new();
@@ -63,9 +63,9 @@
         let now = number * STEP;
         for (at, candidate) in answers.extract_if(.., |(at, _)| *at <= now) {
             let at = Timestamp::at(at);
-            let failed = match conducts[candidate.instance.as_str()] {
-                Conduct::Fails(part) => random.next_u32() % 100 < part,
-                Conduct::Good | Conduct::Mute => false,
+            let failed = match behaviours[candidate.instance.as_str()] {
+                Behaviour::Fails(percent) => random.next_u32() % 100 < percent,
+                Behaviour::Healthy | Behaviour::Unresponsive => false,
             };
             if failed {
                 selector.suspect(&candidate.instance, at);
@@ -78,7 +78,7 @@
         let chosen = chosen.expect("some instance");
         selector.begin(&chosen, &shape, now);
         *sent.entry(chosen.instance.0.clone()).or_default() += 1;
-        if conducts[chosen.instance.as_str()] != Conduct::Mute {
+        if behaviours[chosen.instance.as_str()] != Behaviour::Unresponsive {
             answers.push((number * STEP + ANSWER, chosen));
         }
     }
@@ -86,38 +86,44 @@
 }
 
 #[test]
-fn an_instance_that_fails_a_part_of_its_requests_gets_few() {
+fn an_instance_with_failures_gets_few_requests() {
     for (model, seed) in [("m", 1), ("m", 2), ("", 3), ("", 4)] {
-        let conducts = [
-            ("a", Conduct::Fails(45)),
-            ("b", Conduct::Good),
-            ("c", Conduct::Good),
+        let behaviours = [
+            ("a", Behaviour::Fails(45)),
+            ("b", Behaviour::Healthy),
+            ("c", Behaviour::Healthy),
         ];
-        let sent = play(model, &conducts, 400, seed);
+        let sent = simulate(model, &behaviours, 400, seed);
         let failing = sent.get("a").copied().unwrap_or_default();
-        assert!(failing <= 16, "{failing} of 400 go to it: {sent:?}");
+        assert!(
+            failing <= 16,
+            "{failing} of 400 requests went to the failing instance: {sent:?}"
+        );
     }
 }
 
 #[test]
-fn an_instance_that_answers_nothing_gets_few_before_any_deadline() {
-    let conducts = [
-        ("a", Conduct::Mute),
-        ("b", Conduct::Good),
-        ("c", Conduct::Good),
+fn an_unresponsive_instance_gets_few_requests_before_any_deadline() {
+    let behaviours = [
+        ("a", Behaviour::Unresponsive),
+        ("b", Behaviour::Healthy),
+        ("c", Behaviour::Healthy),
     ];
     for model in ["m", ""] {
-        let sent = play(model, &conducts, 60, 5);
-        let mute = sent.get("a").copied().unwrap_or_default();
-        assert!(mute <= 5, "{mute} of 60 go to it: {sent:?}");
+        let sent = simulate(model, &behaviours, 60, 5);
+        let unresponsive = sent.get("a").copied().unwrap_or_default();
+        assert!(
+            unresponsive <= 5,
+            "{unresponsive} of 60 requests went to the unresponsive instance: {sent:?}"
+        );
     }
 }
 
 #[test]
-fn failures_that_all_share_move_no_load_to_one() {
+fn failures_of_all_instances_shift_no_load_to_one() {
     for seed in 0..5 {
-        let conducts = ["a", "b", "c", "d"].map(|id| (id, Conduct::Fails(14)));
-        let sent = play("", &conducts, 1_000, seed);
+        let behaviours = ["a", "b", "c", "d"].map(|id| (id, Behaviour::Fails(14)));
+        let sent = simulate("", &behaviours, 1_000, seed);
         let most = sent.values().max().copied().unwrap_or_default();
         assert!(most <= 450, "seed {seed}: {sent:?}");
     }
