--- a/crates/services/src/limit/local.rs
+++ b/crates/services/src/limit/local.rs
@@ -69,8 +69,8 @@
     /// `None` once the instance reports no limit any more.
     rate: Option<RequestRate>,
     reported_at: Timestamp,
-    /// Whether the current leader has this report.
-    is_reported: bool,
+    /// Whether this report was sent to, or received from, the current leader.
+    sent_to_leader: bool,
     /// Until this time no query is sent, after a refusal.
     refused_until: Timestamp,
     /// When a request would fit, according to the last refusal.
@@ -84,11 +84,11 @@
 }
 
 impl ReportedRate {
-    fn new(rate: Option<RequestRate>, reported_at: Timestamp, is_reported: bool) -> Self {
+    fn new(rate: Option<RequestRate>, reported_at: Timestamp, sent_to_leader: bool) -> Self {
         Self {
             rate,
             reported_at,
-            is_reported,
+            sent_to_leader,
             refused_until: Timestamp::default(),
             fits_at: Timestamp::default(),
             queries_in_flight: 0,
@@ -231,7 +231,7 @@
                     return LimitChange::None;
                 }
                 entry.change(Some(rate));
-                entry.is_reported = false;
+                entry.sent_to_leader = false;
                 LimitChange::Reported(rate)
             }
             (Some(entry), None) => {
@@ -240,7 +240,7 @@
                 }
                 entry.change(None);
                 entry.reported_at = now;
-                entry.is_reported = false;
+                entry.sent_to_leader = false;
                 LimitChange::Removed
             }
         }
@@ -260,7 +260,7 @@
                 Some(entry) if reported_at <= entry.reported_at => continue,
                 Some(entry) => {
                     entry.reported_at = reported_at;
-                    entry.is_reported = true;
+                    entry.sent_to_leader = true;
                     if entry.rate == published.rate {
                         continue;
                     }
@@ -283,9 +283,9 @@
         let unreported = self
             .entries
             .iter_mut()
-            .filter(|(_, entry)| !entry.is_reported);
+            .filter(|(_, entry)| !entry.sent_to_leader);
         let unreported = unreported.map(|(instance, entry)| {
-            entry.is_reported = true;
+            entry.sent_to_leader = true;
             report_of(instance, entry, now)
         });
         unreported.collect()
@@ -294,7 +294,7 @@
     /// Marks all reports as not sent, after a change of leader, and allows queries at once.
     pub fn mark_all_unreported(&mut self) {
         for entry in self.entries.values_mut() {
-            entry.is_reported = false;
+            entry.sent_to_leader = false;
             entry.refused_until = Timestamp::default();
         }
     }
--- a/crates/services/src/selection/mod.rs
+++ b/crates/services/src/selection/mod.rs
@@ -145,8 +145,8 @@
     }
 
     /// Updates the usage of all routers, including this one, whose own requests in flight are
-    /// subtracted because they are tracked exactly here. `age` is the age of the
-    /// usage when it is received.
+    /// subtracted because they are tracked exactly here. `age` is the age of the usage when it is
+    /// received.
     pub fn set_usage(&mut self, usage: &[crate::feed::InstanceUsage], age: Millis, now: Timestamp) {
         self.usage_received_at = now;
         self.usage_age = age;
--- a/crates/services/src/selection/prompt.rs
+++ b/crates/services/src/selection/prompt.rs
@@ -8,7 +8,7 @@
 /// million pairs of tokens.
 const MS_PER_MILLION_TOKEN_PAIRS: f64 = 0.5;
 
-/// One part of a prompt, such as a shared system prompt or a document.
+/// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PrefixPart {
     /// Identity; equal parts have the same one.
--- a/crates/services/src/selection/pushback.rs
+++ b/crates/services/src/selection/pushback.rs
@@ -1,10 +1,9 @@
 //! Pushbacks that instances sent to this process in their answers: a backoff, during which they
 //! are sent no requests, or a notice that they are leaving, after which they are sent none.
 //!
-//! Invariants: a pushback applies to one incarnation of an instance, and was sent to this process.
-//! A backoff ends with its time; a notice of leaving holds for the rest of the incarnation,
-//! whatever is reported of the instance later. Neither the feed nor a configuration changes
-//! it.
+//! Invariants: a pushback applies to one incarnation of an instance, and was sent to this process
+//! alone. A backoff ends with its time; a notice of leaving holds for the rest of the incarnation,
+//! whatever is reported of the instance later. Neither the feed nor a configuration changes it.
 //!
 //! After a backoff, for the same length of time, the number of concurrent requests to the
 //! instance is bounded by a window: one at first, one more for each successful answer, and at
