--- a/crates/services/src/quarantine/ledger.rs
+++ b/crates/services/src/quarantine/ledger.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: a content with [`MAX_ENDS`] different terminated instances, not all at the same time
 //! and without an answer since, is in quarantine. After the time of its quarantine it is sent
-//! again; one more termination puts it back in quarantine, for a exponent time.
+//! again; one more termination puts it back in quarantine, for a longer time.
 //!
 //! Memory: the numbers of contents are bounded; the oldest are evicted first.
 
@@ -17,11 +17,11 @@
 const MAX_QUARANTINED: usize = 256;
 /// Largest number of suspected contents that routers are notified of.
 const MAX_NOTIFIED: usize = 256;
-/// Length of the first quarantine. Each further one of the same content is exponent by
+/// Length of the first quarantine. Each further one of the same content is longer by
 /// [`QUARANTINE_FACTOR`], so that at most three attempts fall into one day.
 const FIRST_QUARANTINE: Millis = Millis(3_600_000);
 const QUARANTINE_FACTOR: u64 = 4;
-/// Factor by which a content that was in quarantine before is retained exponent.
+/// Factor by which a content that was in quarantine before is retained longer.
 const REPEATED_RETENTION_FACTOR: u64 = 24;
 /// Largest exponent of [`QUARANTINE_FACTOR`], after which the time grows no more.
 const MAX_FACTOR_EXPONENT: u32 = 6;
--- a/crates/services/src/quarantine/mod.rs
+++ b/crates/services/src/quarantine/mod.rs
@@ -8,10 +8,12 @@
 //! contents in quarantine, which are sent to no instance. See [`ledger`] for the leader's side
 //! and [`local`] for a router's.
 //!
-//! Invariant: a content that is answered is neither suspected nor in quarantine. Most requests
-//! that are in flight at a terminating instance are harmless, so a termination counts against a
-//! content only until the content is answered: a router that has an answer to a suspected
-//! content, from shortly before the first termination or later, reports it, and all
+//! Invariant: after an answer to a content is reported, the content is neither suspected nor in
+//! quarantine, until further instances terminate.
+//!
+//! Most requests that are in flight at a terminating instance are harmless, so a termination
+//! counts against a content only until the content is answered: a router that has an answer to a
+//! suspected content, from shortly before the first termination or later, reports it, and all
 //! terminations are cleared.
 
 pub mod ledger;
