--- a/crates/services/tests/quota.rs
+++ b/crates/services/tests/quota.rs
@@ -89,7 +89,7 @@
 
 /// At most the allowance of one second is granted at once, however much of the window is left.
 #[test]
-fn the_allowance_is_not_granted_at_the_start_of_a_window() {
+fn the_allowance_is_not_used_up_at_the_start_of_a_window() {
     let now = Timestamp(20_000);
     let mut ledger = ledger(1, now);
     assert!(has_left(&mut ledger, 225, now));
