--- a/crates/coordinator/src/interface.rs
+++ b/crates/coordinator/src/interface.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use courseshunt_services::{
-    ConfigurationError, InstanceReport, NamedLimit, Order, OrderOutcome, Registration,
+    ConfigurationError, InstanceReport, Order, OrderOutcome, Registration, ReportedLimit,
     ServiceConfiguration,
 };
 use courseshunt_types::RunnerId;
@@ -81,7 +81,7 @@
     fn reports_leaving(&self, headers: &HeaderMap) -> bool;
 
     /// Reads the rate limit from the headers of an instance's reply.
-    fn read_limit(&self, headers: &HeaderMap) -> NamedLimit;
+    fn read_limit(&self, headers: &HeaderMap) -> ReportedLimit;
 
     /// The call that requests an instance's report.
     fn report_call(&self, instance: &RunnerId) -> InstanceCall;
--- a/crates/coordinator/src/leader_loop.rs
+++ b/crates/coordinator/src/leader_loop.rs
@@ -223,7 +223,7 @@
     }
     leadership.is_restored = true;
     let recorded = shared.replica.state().services.quarantined.clone();
-    shared.quarantine().seed(&recorded, now);
+    shared.quarantine().restore(&recorded, now);
     instance_persistence::restore_instances(shared, now).await;
     let term = leadership.term.0;
     let settled = false;
@@ -424,7 +424,7 @@
 /// Sends the state of the tenants' accounts: at once after a change of state, otherwise at
 /// [`ACCOUNTS_FEED_INTERVAL`].
 fn feed_quotas(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
-    let changed = shared.quotas().take_turned();
+    let changed = shared.quotas().take_status_changed();
     if !changed && now.since(leadership.quotas_sent_at) < ACCOUNTS_FEED_INTERVAL {
         return;
     }
@@ -438,11 +438,11 @@
 /// otherwise at [`ACCOUNTS_FEED_INTERVAL`].
 fn feed_limits(shared: &Shared, leadership: &mut Leadership, now: Timestamp) {
     let since = now.since(leadership.limits_sent_at);
-    let has_changes = shared.limits().has_news() && since >= MIN_LIMITS_FEED_INTERVAL;
+    let has_changes = shared.limits().has_changes() && since >= MIN_LIMITS_FEED_INTERVAL;
     if !has_changes && since < ACCOUNTS_FEED_INTERVAL {
         return;
     }
-    shared.limits().take_news();
+    shared.limits().take_changes();
     leadership.limits_sent_at = now;
     if let Some(message) = limits::feed_message(shared, now) {
         shared.sessions.broadcast(message);
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -152,7 +152,7 @@
         let mut quotas = self.quotas();
         quotas.has_accounts().then(|| FeedMessage::Quotas {
             epoch: quotas.epoch(),
-            account_statuses: quotas.standings(now),
+            account_statuses: quotas.account_statuses(now),
         })
     }
 
--- a/crates/coordinator/src/limits.rs
+++ b/crates/coordinator/src/limits.rs
@@ -8,7 +8,7 @@
 use crate::reports::has_quorum_contact;
 use courseshunt_records::emit;
 use courseshunt_services::{
-    FeedMessage, LimitAnswer, LimitAsk, LimitVerdict, LimitWord, RequestRate,
+    FeedMessage, LimitAnswer, LimitQuery, LimitReport, LimitVerdict, RequestRate,
 };
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 
@@ -16,8 +16,8 @@
 /// sent requests.
 pub(crate) fn handle_report(
     reporter: &str,
-    reports: &[LimitWord],
-    requests: &[LimitAsk],
+    reports: &[LimitReport],
+    requests: &[LimitQuery],
     shared: &Shared,
 ) -> Option<FeedMessage> {
     let now = shared.clock.now();
@@ -31,7 +31,7 @@
             .map(|request| answer(request, LimitVerdict::Unknown))
             .collect(),
     };
-    if shared.limits().has_news() {
+    if shared.limits().has_changes() {
         shared.wake.notify_one();
     }
     (!answers.is_empty()).then_some(FeedMessage::LimitAnswers(answers))
@@ -39,18 +39,18 @@
 
 /// Notes a limit that an instance reported in a reply to this leader.
 pub(crate) fn note_own(instance: &RunnerId, rate: RequestRate, shared: &Shared) {
-    let report = LimitWord {
+    let report = LimitReport {
         instance: instance.clone(),
         rate: Some(rate),
         age: Millis(0),
     };
     note_limit(&shared.settings.name, &report, shared.clock.now(), shared);
-    if shared.limits().has_news() {
+    if shared.limits().has_changes() {
         shared.wake.notify_one();
     }
 }
 
-fn note_limit(reporter: &str, report: &LimitWord, now: Timestamp, shared: &Shared) {
+fn note_limit(reporter: &str, report: &LimitReport, now: Timestamp, shared: &Shared) {
     if shared.limits().note(report, now) {
         emit(&ControllerRecord::InstanceLimits {
             instance: report.instance.as_str(),
@@ -63,20 +63,20 @@
 
 fn answer_requests(
     reporter: &str,
-    requests: &[LimitAsk],
+    requests: &[LimitQuery],
     now: Timestamp,
     shared: &Shared,
 ) -> Vec<LimitAnswer> {
     let answers = requests.iter().map(|request| {
-        note_limit(reporter, &request.word, now, shared);
-        let verdict = shared.limits().ask(request, now);
+        note_limit(reporter, &request.report, now, shared);
+        let verdict = shared.limits().decide(request, now);
         shared.metrics.limit_verdict(verdict);
         answer(request, verdict)
     });
     answers.collect()
 }
 
-fn answer(request: &LimitAsk, verdict: LimitVerdict) -> LimitAnswer {
+fn answer(request: &LimitQuery, verdict: LimitVerdict) -> LimitAnswer {
     LimitAnswer {
         number: request.number,
         verdict,
@@ -90,6 +90,6 @@
     let mut limits = shared.limits();
     limits.retain(|instance| engine.contains(instance), now);
     engine.set_limits(limits.rates());
-    let reports = limits.words(now);
+    let reports = limits.reports(now);
     (!reports.is_empty()).then_some(FeedMessage::Limits(reports))
 }
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -14,7 +14,7 @@
 };
 use courseshunt_records::emit;
 use courseshunt_services::{
-    InstanceReport, NamedLimit, Order, OrderAction, OrderOutcome, PlacementStep,
+    InstanceReport, Order, OrderAction, OrderOutcome, PlacementStep, ReportedLimit,
 };
 use courseshunt_types::{Millis, RunnerId};
 use hyper::header::{CONTENT_TYPE, HOST};
@@ -77,7 +77,7 @@
     // A misdirected request was answered by another instance at this address, whose limit does
     // not apply to this one.
     if reply.status != StatusCode::MISDIRECTED_REQUEST
-        && let NamedLimit::Rate(rate) = shared.interface.read_limit(&reply.headers)
+        && let ReportedLimit::Rate(rate) = shared.interface.read_limit(&reply.headers)
     {
         limits::note_own(instance, rate, shared);
     }
--- a/crates/coordinator/src/quarantine.rs
+++ b/crates/coordinator/src/quarantine.rs
@@ -15,7 +15,7 @@
 
 /// The feed message with the suspected and quarantined contents.
 pub(crate) fn feed_message(shared: &Shared) -> FeedMessage {
-    let (suspected, quarantined) = shared.quarantine().told();
+    let (suspected, quarantined) = shared.quarantine().contents_for_routers();
     FeedMessage::Quarantine {
         suspected,
         quarantined,
@@ -46,7 +46,7 @@
 fn publish_changes(shared: &Shared) {
     let (is_changed, changes) = {
         let mut ledger = shared.quarantine();
-        (ledger.take_news(), ledger.take_changes())
+        (ledger.take_contents_changed(), ledger.take_changes())
     };
     for change in changes {
         emit(&record_of(change));
@@ -58,9 +58,9 @@
 
 fn record_of(change: QuarantineChange) -> ControllerRecord<'static> {
     let (content, change, ends) = match change {
-        QuarantineChange::Begun { content, ends } => (content, "begun", Some(ends)),
+        QuarantineChange::Started { content, ends } => (content, "begun", Some(ends)),
         QuarantineChange::Cleared { content } => (content, "cleared", None),
-        QuarantineChange::Tried { content } => (content, "tried", None),
+        QuarantineChange::Retrying { content } => (content, "tried", None),
     };
     ControllerRecord::Quarantine {
         content: content.short(),
--- a/crates/coordinator/src/reports.rs
+++ b/crates/coordinator/src/reports.rs
@@ -11,7 +11,7 @@
 use crate::router_registry::FeedPath;
 use courseshunt_records::emit;
 use courseshunt_services::{
-    FeedMessage, InstanceUsage, ModelDemand, QuotaAnswer, QuotaAsk, QuotaVerdict, RelayedReport,
+    FeedMessage, InstanceUsage, ModelDemand, QuotaAnswer, QuotaQuery, QuotaVerdict, RelayedReport,
     ReportMessage, RouterUpdate,
 };
 use courseshunt_types::RunnerId;
@@ -45,7 +45,7 @@
             shared
                 .routers()
                 .subscribe(&router, session, path, configuration);
-            shared.quotas().router_heard(&router);
+            shared.quotas().router_contacted(&router);
             None
         }
         RouterUpdate::Disconnected => {
@@ -88,11 +88,8 @@
         ReportMessage::QuotaQueries(requests) => {
             return Some(answer_quotas(router, &requests, shared));
         }
-        ReportMessage::Limits {
-            reports: words,
-            queries: asks,
-        } => {
-            return limits::handle_report(router, &words, &asks, shared);
+        ReportMessage::Limits { reports, queries } => {
+            return limits::handle_report(router, &reports, &queries, shared);
         }
         ReportMessage::Ends { ends, answered } => {
             quarantine::handle_report(&ends, answered, shared)
@@ -154,14 +151,14 @@
 }
 
 /// Answers a router's requests for units of tenants' quotas.
-fn answer_quotas(router: &str, requests: &[QuotaAsk], shared: &Shared) -> FeedMessage {
+fn answer_quotas(router: &str, requests: &[QuotaQuery], shared: &Shared) -> FeedMessage {
     let now = shared.clock.now();
     let has_quorum_contact = has_quorum_contact(shared);
     let mut quotas = shared.quotas();
     let answers = requests.iter().map(|one| QuotaAnswer {
         number: one.number,
         verdict: match has_quorum_contact {
-            true => quotas.ask(router, one, now),
+            true => quotas.decide(router, one, now),
             false => QuotaVerdict::Unknown,
         },
     });
--- a/crates/coordinator/src/sessions/previous_release.rs
+++ b/crates/coordinator/src/sessions/previous_release.rs
@@ -6,7 +6,7 @@
 
 use super::{Sessions, encode, instances};
 use courseshunt_services::instance_directory::InstanceChanges;
-use courseshunt_services::{FeedMessage, LimitWord};
+use courseshunt_services::{FeedMessage, LimitReport};
 use courseshunt_types::RunnerId;
 use courseshunt_wire::Frame;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 
 impl Sessions {
     /// Updates the set of instances that report a limit from a feed message.
-    pub(super) fn update_limited_instances(&self, reports: &[LimitWord]) {
+    pub(super) fn update_limited_instances(&self, reports: &[LimitReport]) {
         let limited = reports.iter().filter(|report| report.rate.is_some());
         self.set_limited_instances(limited.map(|report| report.instance.clone()).collect());
     }
--- a/crates/coordinator/src/upstream.rs
+++ b/crates/coordinator/src/upstream.rs
@@ -312,7 +312,7 @@
     let routers = routers.map(|(router, session)| RelayedReport {
         router,
         session,
-        news: subscription.clone(),
+        update: subscription.clone(),
     });
     routers.collect()
 }
--- a/crates/services/src/feed.rs
+++ b/crates/services/src/feed.rs
@@ -9,9 +9,9 @@
 
 use crate::digest::InstanceDigests;
 use crate::instance::InstanceView;
-use crate::limit::{LimitAnswer, LimitAsk, LimitWord};
+use crate::limit::{LimitAnswer, LimitQuery, LimitReport};
 use crate::quarantine::InstanceEnd;
-use crate::quota::{QuotaAnswer, QuotaAsk, TenantStanding, TenantUse};
+use crate::quota::{QuotaAnswer, QuotaQuery, TenantAccountStatus, TenantUse};
 use courseshunt_types::{Digest, Millis, RunnerId, Zone};
 
 /// Shortest time between messages about the use of instances, in either direction.
@@ -175,13 +175,13 @@
         /// Epoch (leadership) that these accounts belong to.
         epoch: u64,
         /// Accounts with recent use.
-        account_statuses: Vec<TenantStanding>,
+        account_statuses: Vec<TenantAccountStatus>,
     },
     /// Answers to [`ReportMessage::QuotaQueries`].
     QuotaAnswers(Vec<QuotaAnswer>),
     /// Rate limits that instances report, and limits that ended recently. An instance that is
     /// left out is unchanged.
-    Limits(Vec<LimitWord>),
+    Limits(Vec<LimitReport>),
     /// Answers to the queries of [`ReportMessage::Limits`].
     LimitAnswers(Vec<LimitAnswer>),
     /// Contents of requests that ended instances. The lists are complete and replace those of
@@ -250,13 +250,13 @@
         uses: Vec<TenantUse>,
     },
     /// Asks whether requests are within the quotas of their tenants.
-    QuotaQueries(Vec<QuotaAsk>),
+    QuotaQueries(Vec<QuotaQuery>),
     /// Rate limits that instances reported, and queries whether requests are within them.
     Limits {
         /// Limits not yet reported to the leader.
-        reports: Vec<LimitWord>,
+        reports: Vec<LimitReport>,
         /// Queries, one for each request.
-        queries: Vec<LimitAsk>,
+        queries: Vec<LimitQuery>,
     },
     /// Asks for the buckets in which the router's digests differ.
     Compare(InstanceDigests),
--- a/crates/services/src/lib.rs
+++ b/crates/services/src/lib.rs
@@ -47,8 +47,8 @@
 pub use instance::{CachedWeights, InstanceState, InstanceView, Registration, ResidentModel};
 pub use instance_directory::InstanceDirectory;
 pub use limit::ledger::LimitLedger;
-pub use limit::local::{LimitNews, LimitStep, RouterLimits};
-pub use limit::{LimitAnswer, LimitAsk, LimitVerdict, LimitWord, NamedLimit, RequestRate};
+pub use limit::local::{LimitChange, LimitStep, RouterLimits};
+pub use limit::{LimitAnswer, LimitQuery, LimitReport, LimitVerdict, ReportedLimit, RequestRate};
 pub use load_rate_limiter::LoadRateLimiter;
 pub use placement::{
     InstanceReport, InstanceReservation, LoadEnd, LoadSource, Order, OrderAction, OrderOutcome,
@@ -60,7 +60,8 @@
 pub use quota::ledger::QuotaLedger;
 pub use quota::local::{QuotaStep, RouterQuotas};
 pub use quota::{
-    LimitedRequest, QuotaAnswer, QuotaAsk, QuotaSettings, QuotaVerdict, TenantStanding, TenantUse,
+    LimitedRequest, QuotaAnswer, QuotaQuery, QuotaSettings, QuotaVerdict, TenantAccountStatus,
+    TenantUse,
 };
 pub use relay::{RegistrationOutbox, RelayedRegistration};
 pub use routes::RouteTable;
--- a/crates/services/src/placement/instance/cached_weights.rs
+++ b/crates/services/src/placement/instance/cached_weights.rs
@@ -48,14 +48,14 @@
 /// Cached weights of one instance; see the module. Each list is in order of use, the least recently
 /// used model first.
 #[derive(Debug, Default)]
-pub(super) struct CachedWeights {
+pub(super) struct WeightCache {
     in_memory: Vec<ModelName>,
     on_disk: Vec<ModelName>,
     /// Loads that ended within [`REPORT_LAG`], the oldest first.
     recent_loads: Vec<(ModelName, Timestamp)>,
 }
 
-impl CachedWeights {
+impl WeightCache {
     /// Applies the instance's report, and the loads that ended too recently to be part of it.
     pub(super) fn apply_report(
         &mut self,
--- a/crates/services/src/placement/instance/mod.rs
+++ b/crates/services/src/placement/instance/mod.rs
@@ -10,7 +10,7 @@
 use super::OrderAction;
 use crate::configuration::Engine;
 use crate::instance::{CachedWeights, InstanceState, InstanceView, Registration, ResidentModel};
-use cached_weights::CachedWeights;
+use cached_weights::WeightCache;
 use courseshunt_types::{Millis, ModelName, RunnerId, Timestamp};
 use std::collections::BTreeMap;
 
@@ -97,7 +97,7 @@
     added_at: Timestamp,
     reservation: Option<Reservation>,
     announced: BTreeMap<ModelName, Timestamp>,
-    cached: CachedWeights,
+    cached: WeightCache,
     /// The last completed load, until it is taken by [`Self::take_finished_load`].
     finished_load: Option<FinishedLoad>,
     /// Routers that could not reach the instance since its last registration, and when.
@@ -128,7 +128,7 @@
             added_at: now,
             reservation: None,
             announced: BTreeMap::new(),
-            cached: CachedWeights::default(),
+            cached: WeightCache::default(),
             finished_load: None,
             unreachable_from: BTreeMap::new(),
             registration,
--- a/crates/services/src/selection/limits.rs
+++ b/crates/services/src/selection/limits.rs
@@ -1,61 +1,66 @@
-//! Limits that instances name, as a choice among them needs these: see [`crate::limit`].
+//! Rate limits that instances report, as far as a router's selection needs them. See
+//! [`crate::limit`].
 
 use super::Selector;
-use crate::limit::local::{LimitNews, LimitStep};
-use crate::limit::{LimitVerdict, LimitWord, RequestRate};
+use crate::limit::local::{LimitChange, LimitStep};
+use crate::limit::{LimitReport, LimitVerdict, RequestRate};
 use courseshunt_types::{Millis, RunnerId, Timestamp};
 
 impl Selector {
-    /// Notes which limit an answer names to a request that was sent at `asked_at`; none: it
-    /// names no limit.
-    pub fn heard_limit(
+    /// Records the rate limit in an answer to a request that was sent at `sent_at`; `None` if the
+    /// answer reports no limit.
+    pub fn observe_limit(
         &mut self,
         instance: &RunnerId,
         rate: Option<RequestRate>,
-        asked_at: Timestamp,
+        sent_at: Timestamp,
         now: Timestamp,
-    ) -> LimitNews {
-        self.limits.heard(instance, rate, asked_at, now)
+    ) -> LimitChange {
+        self.limits.observe(instance, rate, sent_at, now)
     }
 
-    /// Takes over what the leader tells of limits; returns what is news.
-    pub fn told_limits(&mut self, words: &[LimitWord], now: Timestamp) -> Vec<LimitWord> {
-        self.limits.told(words, now)
+    /// Applies the limits that the leader published; returns those that changed.
+    pub fn apply_leader_limits(
+        &mut self,
+        reports: &[LimitReport],
+        now: Timestamp,
+    ) -> Vec<LimitReport> {
+        self.limits.apply_leader_reports(reports, now)
     }
 
-    /// What the leader has to be told of limits.
-    pub fn take_untold_limits(&mut self, now: Timestamp) -> Vec<LimitWord> {
-        self.limits.take_untold(now)
+    /// Takes the limits that have not been reported to the leader yet.
+    pub fn take_unreported_limits(&mut self, now: Timestamp) -> Vec<LimitReport> {
+        self.limits.take_unreported(now)
     }
 
-    /// Another leader has to be told all limits.
-    pub fn tell_limits_anew(&mut self) {
-        self.limits.tell_anew();
+    /// Marks all limits as unreported, after a change of leader.
+    pub fn mark_limits_unreported(&mut self) {
+        self.limits.mark_all_unreported();
     }
 
-    /// What to do with a request for an instance, which may wait so long for its turn there.
-    /// `led` tells whether a leader can be asked.
+    /// Next step for a request to an instance, which may wait up to `max_wait` for its time slot.
+    /// `has_leader` states whether a leader can be queried.
     pub fn limit_step(
         &mut self,
         instance: &RunnerId,
-        patience: Millis,
-        led: bool,
+        max_wait: Millis,
+        has_leader: bool,
         now: Timestamp,
     ) -> LimitStep {
-        self.limits.step(instance, patience, led, now)
+        self.limits.step(instance, max_wait, has_leader, now)
     }
 
-    /// Notes the end of a question on an instance's limit, with the answer if it came.
-    pub fn asked_limit(
+    /// Records the end of a query about an instance's limit, with the verdict if one came.
+    pub fn finish_limit_query(
         &mut self,
         instance: &RunnerId,
         verdict: Option<LimitVerdict>,
         now: Timestamp,
     ) {
-        self.limits.asked(instance, verdict, now);
+        self.limits.finish_query(instance, verdict, now);
     }
 
-    /// The limit that an instance names.
+    /// The rate limit that an instance reports.
     #[must_use]
     pub fn limit_of(&self, instance: &RunnerId) -> Option<RequestRate> {
         self.limits.limit_of(instance)
