--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -5,11 +5,11 @@
 
 use crate::Shared;
 use crate::handle::Admitted;
-use crate::interface::{CarriedKey, RequestFacts};
+use crate::interface::{PresentedKey, RequestMetadata};
 use crate::quota_desk::Charge;
 use crate::records::RequestRecord;
 use crate::refusal::Refusal;
-use crate::standing::{Standing, judge, judge_key};
+use crate::staleness::{LookupDecision, evaluate, evaluate_key};
 use bytes::Bytes;
 use courseshunt_records::emit;
 use courseshunt_services::routes::pick_target;
@@ -110,7 +110,7 @@
 async fn admit_parts(
     head: Parts,
     body: Incoming,
-    facts: RequestFacts,
+    facts: RequestMetadata,
     known: &mut Known,
     shared: &Arc<Shared>,
     arrived: Instant,
@@ -179,7 +179,7 @@
 /// for its first one.
 async fn table(
     shared: &Shared,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
     arrived: Instant,
 ) -> Result<Arc<RouteTable>, Refusal> {
     let deadline = facts.deadline.map_or(START_WAIT, Duration::from);
@@ -198,10 +198,10 @@
 /// The route of a request, as far as this router can tell.
 fn route(table: &RouteTable, head: &Parts, shared: &Shared) -> Result<Arc<Route>, Refusal> {
     let silent_for = shared.view.feed_age();
-    match judge(find(table, head), shared.view.behind_for(), silent_for) {
-        Standing::Serve(route) => Ok(route),
-        Standing::Deny => Err(Refusal::NoRoute),
-        Standing::Behind => Err(Refusal::Behind),
+    match evaluate(find(table, head), shared.view.behind_for(), silent_for) {
+        LookupDecision::Serve(route) => Ok(route),
+        LookupDecision::Deny => Err(Refusal::NoRoute),
+        LookupDecision::Stale => Err(Refusal::Behind),
     }
 }
 
@@ -230,16 +230,16 @@
 fn caller(
     table: &RouteTable,
     route: &Route,
-    carried: CarriedKey,
+    carried: PresentedKey,
     shared: &Shared,
 ) -> Result<Option<Caller>, Refusal> {
     let tenants = table.tenants();
     let found = match carried {
-        CarriedKey::Key(key) => tenants.find(&key).map(|tenant| Caller {
+        PresentedKey::Key(key) => tenants.find(&key).map(|tenant| Caller {
             key,
             tenant: tenant.clone(),
         }),
-        CarriedKey::None | CarriedKey::Unreadable => None,
+        PresentedKey::None | PresentedKey::Unreadable => None,
     };
     if route.public || !tenants.is_needed() {
         return Ok(found);
@@ -247,10 +247,10 @@
     let trust = shared.settings.limits.key_trust_ms;
     let trust = trust.map(Duration::from_millis);
     let silent_for = shared.view.feed_age();
-    match judge_key(found, shared.view.behind_for(), silent_for, trust) {
-        Standing::Serve(caller) => Ok(Some(caller)),
-        Standing::Deny => Err(Refusal::UnknownKey),
-        Standing::Behind => Err(Refusal::Behind),
+    match evaluate_key(found, shared.view.behind_for(), silent_for, trust) {
+        LookupDecision::Serve(caller) => Ok(Some(caller)),
+        LookupDecision::Deny => Err(Refusal::UnknownKey),
+        LookupDecision::Stale => Err(Refusal::Behind),
     }
 }
 
@@ -258,7 +258,7 @@
 async fn charge(
     tenant: &Arc<Tenant>,
     route: &Route,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
     known: &mut Known,
     shared: &Shared,
 ) -> Result<Option<Charge>, Denied> {
--- a/crates/gateway/src/answer_words.rs
+++ b/crates/gateway/src/answer_words.rs
@@ -4,7 +4,7 @@
 //! a request can miss what an instance asks for.
 
 use crate::Shared;
-use crate::interface::AnswerFacts;
+use crate::interface::ResponseMetadata;
 use crate::records::RouterRecord;
 use courseshunt_http::{RetryAfter, read_asked_rest};
 use courseshunt_records::emit;
@@ -71,7 +71,7 @@
     shared: &Shared,
     answering: Answering<'_>,
     head: &Parts,
-    facts: &AnswerFacts,
+    facts: &ResponseMetadata,
 ) -> Option<Millis> {
     let Answering { instance, id, .. } = answering;
     let now = shared.clock.now();
@@ -112,7 +112,7 @@
 
 /// Takes note of the limit that an answer names. Only an answer of the instance itself, to
 /// this request, tells by its silence that there is none.
-fn hear_limit(shared: &Shared, answering: Answering<'_>, status: u16, facts: &AnswerFacts) {
+fn hear_limit(shared: &Shared, answering: Answering<'_>, status: u16, facts: &ResponseMetadata) {
     let Answering {
         instance,
         id,
@@ -145,7 +145,7 @@
 
 fn tell_unknown_headers(shared: &Shared, answering: Answering<'_>, headers: &HeaderMap) {
     for name in headers.keys() {
-        if !OF_HTTP.contains(name) && !shared.interface.knows_answer_header(name) {
+        if !OF_HTTP.contains(name) && !shared.interface.is_known_response_header(name) {
             tell_unknown(shared, answering, name);
         }
     }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -3,9 +3,9 @@
 use crate::Shared;
 use crate::answer_words::{Answering, hear};
 use crate::flight::{Flight, Unsent};
+use crate::forwarded_headers::{filter_request_headers, strip_hop_headers};
 use crate::handle::{Admitted, Chosen};
 use crate::limit_desk;
-use crate::passed_headers::{passed, strip_hop_headers};
 use crate::pool::{self, Upstream};
 use crate::records::RouterRecord;
 use crate::relay::RelayBody;
@@ -139,14 +139,14 @@
     if left == Millis(0) {
         return None;
     }
-    let mut headers = passed(&admitted.head.headers, &*shared.interface);
-    let sending = crate::Sending {
+    let mut headers = filter_request_headers(&admitted.head.headers, &*shared.interface);
+    let sending = crate::ForwardContext {
         deadline: left,
         instance,
         priority: admitted.priority,
         tenant: admitted.tenant(),
     };
-    shared.interface.prepare(&mut headers, &sending);
+    shared.interface.add_forward_headers(&mut headers, &sending);
     let mut request = Request::new(Full::new(admitted.body.clone()));
     *request.method_mut() = admitted.head.method.clone();
     *request.uri_mut() = admitted.target.clone();
@@ -165,7 +165,7 @@
     let (mut head, body) = response.into_parts();
     let facts = shared
         .interface
-        .read_answer(&admitted.facts.id, head.status, &head.headers);
+        .read_response(&admitted.facts.id, head.status, &head.headers);
     upstream.follow(&head.headers);
     flight.status(head.status.as_u16());
     let answering = Answering {
--- a/crates/gateway/src/held_document.rs
+++ b/crates/gateway/src/current_document.rs
@@ -13,13 +13,13 @@
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct HeldDocument {
+pub struct CurrentDocument {
     number: u64,
     document: Vec<u8>,
     needs_whole: bool,
 }
 
-impl HeldDocument {
+impl CurrentDocument {
     /// Number of the document that differences may be told from; 0 for the empty
     /// one.
     #[must_use]
--- a/crates/gateway/src/seeking.rs
+++ b/crates/gateway/src/feed_backoff.rs
@@ -20,17 +20,17 @@
 
 /// See the module.
 #[derive(Debug, Clone, Copy)]
-pub struct SeekingPace {
+pub struct FeedBackoff {
     next: Duration,
 }
 
-impl Default for SeekingPace {
+impl Default for FeedBackoff {
     fn default() -> Self {
         Self { next: FIRST }
     }
 }
 
-impl SeekingPace {
+impl FeedBackoff {
     /// Pause after a controller that could not be reached.
     #[must_use]
     pub fn unreached(&self) -> Duration {
--- a/crates/gateway/src/passed_headers.rs
+++ b/crates/gateway/src/forwarded_headers.rs
@@ -24,7 +24,7 @@
 
 /// The headers of a client's request that its instance sees.
 #[must_use]
-pub fn passed(headers: &HeaderMap, interface: &dyn ClientInterface) -> HeaderMap {
+pub fn filter_request_headers(headers: &HeaderMap, interface: &dyn ClientInterface) -> HeaderMap {
     let mut passed = headers.clone();
     strip_hop_headers(&mut passed);
     for name in &OWN_HEADERS {
@@ -32,7 +32,7 @@
     }
     let names = passed
         .keys()
-        .filter(|name| interface.steers_instances(name));
+        .filter(|name| interface.is_instance_control_header(name));
     let steering: Vec<HeaderName> = names.cloned().collect();
     for name in steering {
         passed.remove(name);
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -4,11 +4,11 @@
 use crate::admission::{Caller, QUARANTINE_RETURN, admit, is_still_held};
 use crate::attempt::{AttemptOutcome, attempt, is_failure};
 use crate::flight::millis;
-use crate::interface::RequestFacts;
+use crate::interface::RequestMetadata;
 use crate::quota_desk::Charge;
 use crate::records::RequestRecord;
 use crate::refusal::Refusal;
-use crate::waiting::{self, Situation, Waiting, decide};
+use crate::waiting::{self, WaitContext, WaitDecision, decide};
 use bytes::Bytes;
 use courseshunt_http::Body;
 use courseshunt_records::emit;
@@ -44,7 +44,7 @@
     pub(crate) content: Digest,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<Service>,
-    pub(crate) facts: RequestFacts,
+    pub(crate) facts: RequestMetadata,
     /// Whose it is; none where no key is needed.
     pub(crate) caller: Option<Caller>,
     /// What it counts within its tenant's limit.
@@ -220,7 +220,7 @@
 fn return_after(admitted: &Admitted, shared: &Shared) -> Option<Millis> {
     let situation = situation(admitted, shared);
     situation
-        .pushed_back
+        .in_backoff
         .then(|| waiting::retry_after(&situation, Instant::now()))
 }
 
@@ -357,19 +357,19 @@
             waiting = Some(shared.view.wait_for(&service.name, shape));
         }
         let situation = situation(admitted, shared);
-        let is_known = service.engine.is_some() || situation.expected.is_some();
+        let is_known = service.engine.is_some() || situation.expected_at.is_some();
         if is_known && !std::mem::replace(&mut is_told, true) {
             record_waiting(admitted, shared, &situation);
         }
         let until = match decide(&situation, Instant::now()) {
-            Waiting::Until(until) => until,
-            Waiting::GiveUp { retry_after } => return Err(GivenUp::of(sends, retry_after)),
+            WaitDecision::Until(until) => until,
+            WaitDecision::GiveUp { retry_after } => return Err(GivenUp::of(sends, retry_after)),
         };
-        if situation.in_turn
+        if situation.can_request_permit
             && sends.may_ask_for_turn()
             && let Some((candidate, view)) = shared.view.choose_turn(service, shape, now)
         {
-            let patience = waiting::patience(&situation, Instant::now());
+            let patience = waiting::max_permit_wait(&situation, Instant::now());
             return Ok(Chosen {
                 candidate,
                 view,
@@ -401,16 +401,16 @@
 }
 
 /// When a waiting request is looked at again, unless something changes before.
-fn next_look(situation: &Situation) -> Instant {
+fn next_look(situation: &WaitContext) -> Instant {
     let now = Instant::now();
-    let expected = situation.expected.filter(|at| *at > now);
+    let expected = situation.expected_at.filter(|at| *at > now);
     expected.into_iter().fold(now + LOOK_AGAIN, Instant::min)
 }
 
-fn record_waiting(admitted: &Admitted, shared: &Shared, situation: &Situation) {
+fn record_waiting(admitted: &Admitted, shared: &Shared, situation: &WaitContext) {
     let shape = &admitted.facts.shape;
     let now = Instant::now();
-    let expected = situation.expected;
+    let expected = situation.expected_at;
     let expected = expected.map(|at| millis(at.saturating_duration_since(now)));
     emit(&RequestRecord::Waits {
         id: &admitted.facts.id,
@@ -425,23 +425,23 @@
 }
 
 /// What the decision on waiting rests on.
-fn situation(admitted: &Admitted, shared: &Shared) -> Situation {
+fn situation(admitted: &Admitted, shared: &Shared) -> WaitContext {
     let service = &admitted.service;
     let now = shared.clock.now();
     let expected = shared.view.expected(service, &admitted.facts.shape, now);
     let asked = admitted.facts.deadline.unwrap_or(admitted.route.timeout);
-    Situation {
+    WaitContext {
         arrived: admitted.arrived,
         deadline: admitted.deadline,
         objective: Duration::from(admitted.route.objective),
-        patience: shared
+        first_byte_timeout: shared
             .interface
-            .patience(&admitted.route)
+            .first_byte_timeout(&admitted.route)
             .map(Duration::from),
-        returning: asked.0 * 10 < admitted.route.timeout.0 * 9,
-        has_models: service.engine.is_some() && shared.view.is_known(service),
-        expected: expected.map(|expected| expected.at),
-        pushed_back: expected.is_some_and(|expected| expected.pushed_back),
-        in_turn: expected.is_some_and(|expected| expected.in_turn),
+        is_client_retry: asked.0 * 10 < admitted.route.timeout.0 * 9,
+        can_load_model: service.engine.is_some() && shared.view.is_known(service),
+        expected_at: expected.map(|expected| expected.at),
+        in_backoff: expected.is_some_and(|expected| expected.pushed_back),
+        can_request_permit: expected.is_some_and(|expected| expected.in_turn),
     }
 }
--- a/crates/gateway/src/interface.rs
+++ b/crates/gateway/src/interface.rs
@@ -9,20 +9,20 @@
 
 /// What a request says about itself.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Identity given by the client, for logs and for matching answers.
     pub id: String,
     /// How long the client waits.
     pub deadline: Option<Millis>,
     /// The key it carries.
-    pub key: CarriedKey,
+    pub key: PresentedKey,
     /// Model, sizes and parts of the prompt.
     pub shape: PromptShape,
 }
 
 /// The key of a request, as its digest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum CarriedKey {
+pub enum PresentedKey {
     /// It carries none.
     #[default]
     None,
@@ -34,7 +34,7 @@
 
 /// What a router adds to a request that it sends.
 #[derive(Debug, Clone, Copy)]
-pub struct Sending<'a> {
+pub struct ForwardContext<'a> {
     /// Time left.
     pub deadline: Millis,
     /// The only instance that may run it.
@@ -47,7 +47,7 @@
 
 /// What an instance's answer says about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct AnswerFacts {
+pub struct ResponseMetadata {
     /// The instance says that the request did not run there.
     pub not_run: bool,
     /// Another instance answers at this address, or it lacks the model.
@@ -64,13 +64,13 @@
 
 /// Who answers at an instance's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Presence {
+pub enum ProbeIdentity {
     /// The instance that was meant.
-    Itself,
+    Expected,
     /// Another one.
-    Another,
+    Other,
     /// The answer does not tell.
-    Unclear,
+    Unknown,
 }
 
 /// Translates between the wire forms of clients and instances and the product's
@@ -86,33 +86,33 @@
     ) -> Result<ServiceConfiguration, ConfigurationError>;
 
     /// Reads what a request says about itself.
-    fn read_request(&self, headers: &HeaderMap) -> RequestFacts;
+    fn read_request(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// How long a client waits for the first part of an answer on this route;
     /// `None` when it waits until its deadline.
-    fn patience(&self, route: &Route) -> Option<Millis>;
+    fn first_byte_timeout(&self, route: &Route) -> Option<Millis>;
 
     /// Whether a header steers instances, so that it isn't a client's to set. Names
     /// of a family that steers count also where they aren't known yet.
-    fn steers_instances(&self, name: &HeaderName) -> bool;
+    fn is_instance_control_header(&self, name: &HeaderName) -> bool;
 
     /// Sets what the router adds.
-    fn prepare(&self, headers: &mut HeaderMap, sending: &Sending<'_>);
+    fn add_forward_headers(&self, headers: &mut HeaderMap, sending: &ForwardContext<'_>);
 
     /// Reads what an answer says about itself.
-    fn read_answer(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    fn read_response(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
 
     /// Headers of a health check that asks whether this instance is there.
-    fn presence_question(&self, instance: &RunnerId) -> HeaderMap;
+    fn probe_headers(&self, instance: &RunnerId) -> HeaderMap;
 
     /// Reads who answered such a check, whether well or not.
-    fn read_presence(
+    fn read_probe_identity(
         &self,
         instance: &RunnerId,
         status: StatusCode,
         headers: &HeaderMap,
-    ) -> Presence;
+    ) -> ProbeIdentity;
 
     /// Whether a header of answers, besides those of HTTP, is one whose meaning is known.
-    fn knows_answer_header(&self, name: &HeaderName) -> bool;
+    fn is_known_response_header(&self, name: &HeaderName) -> bool;
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,18 +10,19 @@
 mod admission;
 mod answer_words;
 mod attempt;
+pub mod current_document;
 mod demand;
 pub mod directory;
 mod error;
 mod feed;
+pub mod feed_backoff;
 mod flight;
+pub mod forwarded_headers;
 mod handle;
-pub mod held_document;
 mod interface;
 mod limit_desk;
 mod looks;
 mod metrics;
-pub mod passed_headers;
 mod pool;
 mod quarantine_desk;
 mod questions;
@@ -30,14 +31,15 @@
 mod refusal;
 mod relay;
 mod search;
-pub mod seeking;
 mod serve;
-pub mod standing;
+pub mod staleness;
 mod view;
 pub mod waiting;
 
 pub use error::GatewayError;
-pub use interface::{AnswerFacts, CarriedKey, ClientInterface, Presence, RequestFacts, Sending};
+pub use interface::{
+    ClientInterface, ForwardContext, PresentedKey, ProbeIdentity, RequestMetadata, ResponseMetadata,
+};
 
 use answer_words::UnknownWords;
 use courseshunt_records::emit;
@@ -94,7 +96,7 @@
 impl Shared {
     /// Whether a leader was heard lately.
     pub(crate) fn is_led(&self) -> bool {
-        self.view.feed_age() <= standing::LONGEST_SILENCE
+        self.view.feed_age() <= staleness::MAX_LEADER_SILENCE
     }
 }
 
@@ -128,14 +130,14 @@
         settings: ServiceSettings,
         interface: Arc<dyn ClientInterface>,
     ) -> Result<Self, GatewayError> {
-        Self::start_by(MonotonicClock::start(), settings, interface).await
+        Self::start_with_clock(MonotonicClock::start(), settings, interface).await
     }
 
     /// Starts a router that judges what expires by `clock`.
     ///
     /// # Errors
     /// When an address is missing or taken.
-    pub async fn start_by(
+    pub async fn start_with_clock(
         clock: MonotonicClock,
         settings: ServiceSettings,
         interface: Arc<dyn ClientInterface>,
--- a/crates/gateway/src/looks.rs
+++ b/crates/gateway/src/looks.rs
@@ -7,7 +7,7 @@
 
 use crate::Shared;
 use crate::answer_words::{Answering, hear};
-use crate::interface::Presence;
+use crate::interface::ProbeIdentity;
 use crate::pool::{self, Upstream};
 use bytes::Bytes;
 use courseshunt_types::RunnerId;
@@ -108,9 +108,9 @@
     let asking = ask(shared, instance, &place.address, &path, upstream);
     let answered = tokio::time::timeout(ANSWER_LIMIT, asking).await;
     match answered.ok().flatten() {
-        Some(Presence::Itself) => Look::Itself,
-        Some(Presence::Another) => Look::Another,
-        Some(Presence::Unclear) | None => Look::Unclear,
+        Some(ProbeIdentity::Expected) => Look::Itself,
+        Some(ProbeIdentity::Other) => Look::Another,
+        Some(ProbeIdentity::Unknown) | None => Look::Unclear,
     }
 }
 
@@ -121,10 +121,10 @@
     address: &str,
     path: &str,
     mut upstream: Upstream,
-) -> Option<Presence> {
+) -> Option<ProbeIdentity> {
     let mut request = Request::new(Full::<Bytes>::default());
     *request.uri_mut() = path.parse().ok()?;
-    *request.headers_mut() = shared.interface.presence_question(instance);
+    *request.headers_mut() = shared.interface.probe_headers(instance);
     let host = HeaderValue::from_str(address).ok()?;
     request.headers_mut().insert(HOST, host);
     let asked_at = shared.clock.now();
@@ -132,7 +132,7 @@
     let (head, body) = response.into_parts();
     let facts = shared
         .interface
-        .read_answer(HEALTH_CHECK, head.status, &head.headers);
+        .read_response(HEALTH_CHECK, head.status, &head.headers);
     let answering = Answering {
         instance,
         id: HEALTH_CHECK,
@@ -140,12 +140,12 @@
     };
     let presence = shared
         .interface
-        .read_presence(instance, head.status, &head.headers);
-    if presence == Presence::Itself {
+        .read_probe_identity(instance, head.status, &head.headers);
+    if presence == ProbeIdentity::Expected {
         hear(shared, answering, &head, &facts);
     }
     let whole = Limited::new(body, LONGEST_ANSWER).collect().await;
-    if whole.is_ok() && presence == Presence::Itself {
+    if whole.is_ok() && presence == ProbeIdentity::Expected {
         shared.pool.keep(instance, upstream);
     }
     Some(presence)
--- a/crates/gateway/src/quarantine_desk.rs
+++ b/crates/gateway/src/quarantine_desk.rs
@@ -8,7 +8,7 @@
 use crate::Shared;
 use crate::looks::{GONE, Look, look_once, look_until_sure};
 use crate::records::RouterRecord;
-use crate::standing::LONGEST_SILENCE;
+use crate::staleness::MAX_LEADER_SILENCE;
 use courseshunt_records::emit;
 use courseshunt_services::{InstanceEnd, RouterQuarantine};
 use courseshunt_types::time::MonotonicClock;
@@ -81,7 +81,8 @@
     /// Whether requests of this content are sent nowhere. `silent_for` is the time since
     /// a leader was heard.
     pub(crate) fn holds(&self, content: &Digest, silent_for: Duration) -> bool {
-        self.state().holds(content, silent_for <= LONGEST_SILENCE)
+        self.state()
+            .holds(content, silent_for <= MAX_LEADER_SILENCE)
     }
 
     /// Contents in quarantine.
--- a/crates/gateway/src/search.rs
+++ b/crates/gateway/src/search.rs
@@ -6,8 +6,8 @@
 
 use crate::Shared;
 use crate::directory::{Directory, KnownMember};
+use crate::feed_backoff::FeedBackoff;
 use crate::records::RouterRecord;
-use crate::seeking::SeekingPace;
 use courseshunt_records::emit;
 use courseshunt_services::MemberPlace;
 use courseshunt_types::Zone;
@@ -62,7 +62,7 @@
     /// Controllers that did not feed this router, and until when that counts.
     failed: Vec<(SocketAddr, Instant)>,
     pub(crate) limit: DialLimit,
-    pace: SeekingPace,
+    pace: FeedBackoff,
     /// The leader, as a controller told that has no feed itself; asked next.
     leader: Option<SocketAddr>,
     /// When the present controller was asked.
@@ -79,7 +79,7 @@
             tried: Vec::new(),
             failed: Vec::new(),
             limit: DialLimit::growing_to(LONGEST_DIAL),
-            pace: SeekingPace::default(),
+            pace: FeedBackoff::default(),
             leader: None,
             asked_at: Instant::now(),
             fed: false,
@@ -130,7 +130,7 @@
                 problem,
             });
             self.tried.clear();
-            self.pace = SeekingPace::default();
+            self.pace = FeedBackoff::default();
             if matches!(end, FeedEnd::NoFeed(_)) {
                 // It has no leader; all others are asked before it.
                 self.tried.push(address);
--- a/crates/gateway/src/view/mod.rs
+++ b/crates/gateway/src/view/mod.rs
@@ -1,7 +1,7 @@
 //! What a router knows: configuration, instances, use, demand, budgets.
 
+use crate::current_document::CurrentDocument;
 use crate::demand::{DemandBook, DemandKey};
-use crate::held_document::HeldDocument;
 use courseshunt_services::fed_instances::InstanceChanges;
 use courseshunt_services::feed::{InstanceUsage, usage_interval, usage_lag};
 use courseshunt_services::{
@@ -57,7 +57,7 @@
         selector.set_routers(ASSUMED_ROUTERS);
         let state = State {
             table: None,
-            document: HeldDocument::default(),
+            document: CurrentDocument::default(),
             behind_since: None,
             instances: FedInstances::default(),
             loading: BTreeMap::new(),
@@ -130,7 +130,7 @@
     }
 
     /// The document that a difference makes out of the one in force: see
-    /// [`HeldDocument::apply`].
+    /// [`CurrentDocument::apply`].
     pub(crate) fn apply(
         &self,
         base: u64,
--- a/crates/gateway/src/view/state.rs
+++ b/crates/gateway/src/view/state.rs
@@ -1,7 +1,7 @@
 //! What is known behind the view's lock, and when instances are expected.
 
+use crate::current_document::CurrentDocument;
 use crate::demand::DemandBook;
-use crate::held_document::HeldDocument;
 use courseshunt_services::fed_instances::InstanceChanges;
 use courseshunt_services::{
     Candidate, FedInstances, InstanceState, InstanceView, PromptShape, Pushback, ReportMessage,
@@ -57,7 +57,7 @@
 pub(super) struct State {
     pub(super) table: Option<Arc<RouteTable>>,
     /// The configuration in force, in the operator's form.
-    pub(super) document: HeldDocument,
+    pub(super) document: CurrentDocument,
     /// A newer configuration is in force elsewhere since then.
     pub(super) behind_since: Option<Timestamp>,
     pub(super) instances: FedInstances,
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -29,7 +29,7 @@
 
 /// What the decision rests on.
 #[derive(Debug, Clone, Copy)]
-pub struct Situation {
+pub struct WaitContext {
     /// When the request arrived.
     pub arrived: Instant,
     /// When its time is over.
@@ -37,22 +37,22 @@
     /// Time within which the answer earns its full credit.
     pub objective: Duration,
     /// How long the client waits for the first part of the answer.
-    pub patience: Option<Duration>,
+    pub first_byte_timeout: Option<Duration>,
     /// Whether the client was refused before.
-    pub returning: bool,
+    pub is_client_retry: bool,
     /// Whether instances of the service can be told to load the model.
-    pub has_models: bool,
+    pub can_load_model: bool,
     /// When an instance is expected to be there: with the model, and its rest over.
-    pub expected: Option<Instant>,
+    pub expected_at: Option<Instant>,
     /// Whether that instance asked for rest until then, or takes no more until then by its limit.
-    pub pushed_back: bool,
+    pub in_backoff: bool,
     /// Whether its limit allows a request then: a turn can be asked for.
-    pub in_turn: bool,
+    pub can_request_permit: bool,
 }
 
 /// The decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Waiting {
+pub enum WaitDecision {
     /// Wait, at most until then.
     Until(Instant),
     /// Give up now.
@@ -63,24 +63,24 @@
 }
 
 /// Decides.
-pub fn decide(situation: &Situation, now: Instant) -> Waiting {
-    let limit = match situation.returning {
+pub fn decide(situation: &WaitContext, now: Instant) -> WaitDecision {
+    let limit = match situation.is_client_retry {
         true => limit_returning(situation, now),
         false => limit_first(situation, now),
     };
     if now < limit {
-        return Waiting::Until(limit);
+        return WaitDecision::Until(limit);
     }
-    Waiting::GiveUp {
+    WaitDecision::GiveUp {
         retry_after: retry_after(situation, now),
     }
 }
 
 /// How long a request may wait for its turn at an instance: until it would be answered late,
 /// or, where a refusal helps no more, as long as its client waits.
-pub fn patience(situation: &Situation, now: Instant) -> Duration {
+pub fn max_permit_wait(situation: &WaitContext, now: Instant) -> Duration {
     let in_time = situation.arrived + situation.objective;
-    let refusal_helps = now <= situation.prompt() && !situation.returning;
+    let refusal_helps = now <= situation.prompt() && !situation.is_client_retry;
     let answered_by = match refusal_helps {
         true => in_time.min(situation.end()),
         false => situation.end(),
@@ -90,20 +90,20 @@
 
 /// How long a request waits that has come back: as long as its client does,
 /// where that makes sense.
-fn limit_returning(situation: &Situation, now: Instant) -> Instant {
-    match situation.expected {
-        None if !situation.has_models => situation.prompt(),
+fn limit_returning(situation: &WaitContext, now: Instant) -> Instant {
+    match situation.expected_at {
+        None if !situation.can_load_model => situation.prompt(),
         None => situation.arrived + situation.whole().mul_f64(BLIND_PART),
         Some(expected) if expected + ANSWER_TIME <= situation.end() => situation.end(),
         // No order makes a rest shorter.
-        Some(_) if situation.pushed_back => now,
+        Some(_) if situation.in_backoff => now,
         Some(_) => situation.prompt(),
     }
 }
 
 /// How long a request waits that was not refused before.
-fn limit_first(situation: &Situation, now: Instant) -> Instant {
-    let Some(expected) = situation.expected else {
+fn limit_first(situation: &WaitContext, now: Instant) -> Instant {
+    let Some(expected) = situation.expected_at else {
         return situation.prompt();
     };
     let answer = expected + ANSWER_TIME;
@@ -118,8 +118,8 @@
 
 /// When it makes sense to come back: surely not before the model is there, since
 /// a request that is refused again is lost.
-pub(crate) fn retry_after(situation: &Situation, now: Instant) -> Millis {
-    let wait = match situation.expected {
+pub(crate) fn retry_after(situation: &WaitContext, now: Instant) -> Millis {
+    let wait = match situation.expected_at {
         Some(expected) => {
             let wait = expected.saturating_duration_since(now);
             wait + wait.mul_f64(RETURN_MARGIN_PART) + RETURN_MARGIN
@@ -132,7 +132,7 @@
     Millis(u64::try_from(wait.as_millis()).unwrap_or(u64::MAX))
 }
 
-impl Situation {
+impl WaitContext {
     /// Until then a refusal is cheap for the client.
     fn prompt(&self) -> Instant {
         self.arrived + self.objective / PROMPT_PART
@@ -145,7 +145,7 @@
     /// Until then its client surely waits.
     fn end(&self) -> Instant {
         let whole = self.whole();
-        let patience = self.patience.unwrap_or(whole);
+        let patience = self.first_byte_timeout.unwrap_or(whole);
         self.arrived + whole.min(patience).mul_f64(CLIENT_TIME_PART)
     }
 }
--- a/crates/gateway/tests/held_document.rs
+++ b/crates/gateway/tests/current_document.rs
@@ -1,14 +1,14 @@
 //! A router that can't apply a difference asks for the whole document.
 
-use courseshunt_gateway::held_document::HeldDocument;
+use courseshunt_gateway::current_document::CurrentDocument;
 use courseshunt_services::digest::document_digest;
 use courseshunt_wire::compression::difference;
 
 const OLDER: &[u8] = b"routes: a, b, c";
 const NEWER: &[u8] = b"routes: a, c, d";
 
-fn holding(number: u64, document: &[u8]) -> HeldDocument {
-    let mut held = HeldDocument::default();
+fn holding(number: u64, document: &[u8]) -> CurrentDocument {
+    let mut held = CurrentDocument::default();
     held.hold(number, document.to_vec());
     held
 }
--- a/crates/gateway/tests/seeking.rs
+++ b/crates/gateway/tests/feed_backoff.rs
@@ -1,7 +1,7 @@
 //! 1,000 routers have lost their feed at once and no controller has one for 20 s: what they
 //! ask of the controllers stays bounded, and all are back soon after the feed is.
 
-use courseshunt_gateway::seeking::SeekingPace;
+use courseshunt_gateway::feed_backoff::FeedBackoff;
 use std::time::Duration;
 
 const ROUTERS: u32 = 1_000;
@@ -13,7 +13,7 @@
 
 /// When one router asks, from the loss of its feed until it has one again.
 fn questions(wait: Duration, random: &mut impl FnMut() -> u32) -> Vec<Duration> {
-    let mut pace = SeekingPace::default();
+    let mut pace = FeedBackoff::default();
     let mut now = Duration::ZERO;
     let mut asked = vec![now];
     while now < WITHOUT_FEED {
--- a/crates/gateway/tests/return_of_routers.rs
+++ b/crates/gateway/tests/router_reconnect.rs
@@ -7,7 +7,7 @@
 //! every controller feeds routers, each finds a few at its door.
 
 use courseshunt_gateway::directory::{Directory, KnownMember};
-use courseshunt_gateway::seeking::SeekingPace;
+use courseshunt_gateway::feed_backoff::FeedBackoff;
 use courseshunt_types::Zone;
 use courseshunt_wire::DialLimit;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -44,7 +44,7 @@
     directory: Directory,
     tried: Vec<SocketAddr>,
     limit: DialLimit,
-    pace: SeekingPace,
+    pace: FeedBackoff,
 }
 
 fn address(number: u16) -> SocketAddr {
@@ -59,7 +59,7 @@
             directory,
             tried: Vec::new(),
             limit: DialLimit::growing_to(LONGEST_DIAL),
-            pace: SeekingPace::default(),
+            pace: FeedBackoff::default(),
         }
     }
 
--- a/crates/gateway/tests/waiting.rs
+++ b/crates/gateway/tests/waiting.rs
@@ -1,6 +1,6 @@
 //! Whether a request waits or is given up, in a table.
 
-use courseshunt_gateway::waiting::{Situation, Waiting, decide, patience};
+use courseshunt_gateway::waiting::{WaitContext, WaitDecision, decide, max_permit_wait};
 use courseshunt_types::Millis;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -219,20 +219,20 @@
 async fn decisions() {
     let arrived = Instant::now() + ms(60_000);
     for case in CASES {
-        let situation = Situation {
+        let situation = WaitContext {
             arrived,
             deadline: arrived + ms(DEADLINE),
             objective: ms(case.objective),
-            patience: case.patience.map(ms),
-            returning: case.returning,
-            has_models: case.has_models,
-            expected: case.expected.map(|at| arrived + ms(at)),
-            pushed_back: case.pushed_back,
-            in_turn: false,
+            first_byte_timeout: case.patience.map(ms),
+            is_client_retry: case.returning,
+            can_load_model: case.has_models,
+            expected_at: case.expected.map(|at| arrived + ms(at)),
+            in_backoff: case.pushed_back,
+            can_request_permit: false,
         };
         let verdict = match decide(&situation, arrived + ms(case.now)) {
-            Waiting::Until(until) => Ok((until - arrived).as_millis() as u64),
-            Waiting::GiveUp {
+            WaitDecision::Until(until) => Ok((until - arrived).as_millis() as u64),
+            WaitDecision::GiveUp {
                 retry_after: Millis(wait),
             } => Err(wait),
         };
@@ -253,18 +253,18 @@
         (false, 4_450, 0),
         (true, 0, 4_380),
     ] {
-        let situation = Situation {
+        let situation = WaitContext {
             arrived,
             deadline: arrived + ms(DEADLINE),
             objective: ms(1_000),
-            patience: None,
-            returning,
-            has_models: true,
-            expected: None,
-            pushed_back: true,
-            in_turn: true,
+            first_byte_timeout: None,
+            is_client_retry: returning,
+            can_load_model: true,
+            expected_at: None,
+            in_backoff: true,
+            can_request_permit: true,
         };
-        let found = patience(&situation, arrived + ms(now));
+        let found = max_permit_wait(&situation, arrived + ms(now));
         assert_eq!(found, ms(waits), "{returning} {now}");
     }
 }
