--- a/crates/gateway/src/view/mod.rs
+++ b/crates/gateway/src/view/mod.rs
@@ -1,7 +1,10 @@
-//! What a router knows: configuration, instances, use, demand, budgets.
+//! The router's view of the cluster: configuration, instances, load, demand and retry budgets.
+//!
+//! Invariant: one lock guards all of it except for the age of the feed, so that each selection
+//! sees a consistent state.
 
 use crate::current_document::CurrentDocument;
-use crate::demand::{DemandBook, DemandKey};
+use crate::demand::{DemandKey, DemandTracker};
 use courseshunt_services::fed_instances::InstanceChanges;
 use courseshunt_services::feed::{InstanceUsage, usage_interval, usage_lag};
 use courseshunt_services::{
@@ -19,33 +22,33 @@
 
 mod state;
 
-pub(crate) use state::Expected;
+pub(crate) use state::Availability;
 use state::State;
 
-/// Routers are taken to be so many until the feed tells.
-pub(crate) const ASSUMED_ROUTERS: u32 = 16;
-/// Where an instance is asked whether it is there.
-pub(crate) struct InstancePlace {
+/// Number of routers that is assumed until the feed reports it.
+pub(crate) const INITIAL_ROUTER_COUNT: u32 = 16;
+/// Address and path for health probes of an instance.
+pub(crate) struct ProbeTarget {
     /// `ip:port`.
     pub(crate) address: String,
-    /// Path of its health check, where the operator names one.
+    /// Path of the health check, if the service declares one.
     pub(crate) health_path: Option<String>,
 }
 
-/// See the module.
+/// Cluster state as last received through the feed, plus this router's own counters.
 pub(crate) struct View {
     state: Mutex<State>,
     changes: watch::Sender<u64>,
-    /// Counts sleep: what a router that wakes has heard is as old as it is.
+    /// Counts suspended time: after a suspension, received data is as old as it really is.
     clock: MonotonicClock,
-    /// When a leader was heard last.
-    heard: Mutex<Timestamp>,
-    /// Woken when a request begins to wait for a model, and when a configuration
-    /// comes into force.
-    pub(crate) news: Notify,
-    /// Woken when other instances are fed than are known here.
-    pub(crate) differs: Notify,
-    retry: (f64, f64, Millis),
+    /// When the last message of a leader arrived.
+    last_leader_message: Mutex<Timestamp>,
+    /// Notified when a request starts to wait for a model, when a configuration comes into
+    /// force, and when the feed of a new leader starts.
+    pub(crate) report_due: Notify,
+    /// Notified when the leader's digests differ from those of the local instances.
+    pub(crate) instances_differ: Notify,
+    retry_settings: (f64, f64, Millis),
 }
 
 impl View {
@@ -54,27 +57,27 @@
         let window = Millis((limits.retry_window_s * 1000.0) as u64);
         let zone = Zone::from(settings.zone.as_str());
         let mut selector = Selector::new(zone).seeded(rand::random());
-        selector.set_routers(ASSUMED_ROUTERS);
+        selector.set_routers(INITIAL_ROUTER_COUNT);
         let state = State {
             table: None,
             document: CurrentDocument::default(),
-            behind_since: None,
+            stale_since: None,
             instances: FedInstances::default(),
             loading: BTreeMap::new(),
             selector,
-            demand: DemandBook::default(),
+            demand: DemandTracker::default(),
             budgets: HashMap::new(),
-            routers: ASSUMED_ROUTERS,
-            reported: None,
+            routers: INITIAL_ROUTER_COUNT,
+            last_report: None,
         };
         Self {
             state: Mutex::new(state),
             changes: watch::Sender::new(0),
-            heard: Mutex::new(clock.now()),
+            last_leader_message: Mutex::new(clock.now()),
             clock,
-            news: Notify::new(),
-            differs: Notify::new(),
-            retry: (limits.retry_ratio, limits.retry_slack, window),
+            report_due: Notify::new(),
+            instances_differ: Notify::new(),
+            retry_settings: (limits.retry_ratio, limits.retry_slack, window),
         }
     }
 
@@ -87,51 +90,58 @@
         self.lock().table.clone()
     }
 
-    /// Number of the configuration in force; 0 for none.
-    pub(crate) fn number(&self) -> u64 {
-        self.lock().number()
+    /// Version number of the configuration in force; 0 if there is none.
+    pub(crate) fn configuration_number(&self) -> u64 {
+        self.lock().configuration_number()
     }
 
-    /// Number of the configuration that differences may be told from; 0 for none.
-    pub(crate) fn base(&self) -> u64 {
+    /// Version number of the configuration that a difference may be based on; 0 if there is
+    /// none.
+    pub(crate) fn base_number(&self) -> u64 {
         self.lock().document.base()
     }
 
-    /// Whether requests can be served.
+    /// Whether a configuration is in force and at least one instance is known.
     pub(crate) fn is_ready(&self) -> bool {
         let state = self.lock();
         state.table.is_some() && !state.instances.is_empty()
     }
 
-    /// Notes a message of the leader.
-    pub(crate) fn hear_leader(&self) {
-        *self.heard.lock().unwrap_or_else(PoisonError::into_inner) = self.clock.now();
+    /// Records that a message of the leader arrived.
+    pub(crate) fn record_leader_message(&self) {
+        *self
+            .last_leader_message
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = self.clock.now();
     }
 
     /// Time since the last message of a leader.
     pub(crate) fn feed_age(&self) -> Duration {
-        let heard = self.heard.lock().unwrap_or_else(PoisonError::into_inner);
-        Duration::from(self.clock.now().since(*heard))
+        let last = self
+            .last_leader_message
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        Duration::from(self.clock.now().since(*last))
     }
 
-    /// Time between reports, for as many routers and instances as are known.
+    /// Interval between usage reports, for the known number of routers and instances.
     pub(crate) fn report_interval(&self) -> Millis {
         let state = self.lock();
         usage_interval(state.routers, state.instances.len())
     }
 
-    /// Follows changes, to wait for one.
+    /// Subscribes to changes of the view.
     pub(crate) fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    fn changed(&self) {
+    fn notify_change(&self) {
         self.changes.send_modify(|number| *number += 1);
     }
 
-    /// The document that a difference makes out of the one in force: see
+    /// Applies a difference to the configuration document in force: see
     /// [`CurrentDocument::apply`].
-    pub(crate) fn apply(
+    pub(crate) fn apply_difference(
         &self,
         base: u64,
         digest: u64,
@@ -140,38 +150,40 @@
         self.lock().document.apply(base, digest, difference)
     }
 
-    /// Notes which configuration is in force elsewhere.
-    pub(crate) fn announce(&self, number: u64) {
+    /// Records which configuration the leader announces as in force.
+    pub(crate) fn set_announced(&self, number: u64) {
         let mut state = self.lock();
-        if number <= state.number() {
-            state.behind_since = None;
-        } else if state.behind_since.is_none() {
-            state.behind_since = Some(self.clock.now());
+        if number <= state.configuration_number() {
+            state.stale_since = None;
+        } else if state.stale_since.is_none() {
+            state.stale_since = Some(self.clock.now());
         }
     }
 
-    /// For how long a newer configuration is known to be in force elsewhere.
-    pub(crate) fn behind_for(&self) -> Option<Duration> {
-        let since = self.lock().behind_since?;
+    /// Time for which this router has been stale: since it learnt of a newer configuration than
+    /// its own.
+    pub(crate) fn stale_for(&self) -> Option<Duration> {
+        let since = self.lock().stale_since?;
         Some(Duration::from(self.clock.now().since(since)))
     }
 
-    /// Puts a newer configuration in force; an older one changes nothing.
+    /// Puts a newer configuration in force; an older one is ignored. Returns whether it is in
+    /// force.
     pub(crate) fn configure(&self, table: RouteTable, document: Vec<u8>) -> bool {
         let mut state = self.lock();
-        if table.number() <= state.number() {
+        if table.number() <= state.configuration_number() {
             return false;
         }
-        state.document.hold(table.number(), document);
+        state.document.set(table.number(), document);
         state.table = Some(Arc::new(table));
-        state.behind_since = None;
+        state.stale_since = None;
         drop(state);
-        self.changed();
-        self.news.notify_one();
+        self.notify_change();
+        self.report_due.notify_one();
         true
     }
 
-    /// Takes changed instances over; returns those that are there no more.
+    /// Applies changed and removed instances; returns the removed ones that were known.
     pub(crate) fn set_instances(
         &self,
         changed: Vec<InstanceView>,
@@ -180,13 +192,14 @@
         let mut state = self.lock();
         gone.retain(|id| state.instances.contains(id));
         let changes = state.instances.change(changed, gone);
-        state.follow(&changes);
+        state.apply_changes(&changes);
         drop(state);
-        self.changed();
+        self.notify_change();
         changes.gone
     }
 
-    /// Takes the instances of a part over; returns those that are there no more.
+    /// Replaces the instances of one part of the instance set; returns those that no longer
+    /// exist.
     pub(crate) fn set_part(
         &self,
         part: u32,
@@ -196,26 +209,26 @@
         let part = usize::try_from(part).unwrap_or(usize::MAX);
         let mut state = self.lock();
         let changes = state.instances.set_part(part, instances, complete);
-        state.follow(&changes);
+        state.apply_changes(&changes);
         drop(state);
-        self.changed();
+        self.notify_change();
         changes.gone
     }
 
-    /// Takes over which instances are there; returns those that are no more.
-    pub(crate) fn keep_instances(&self, live: &[RunnerId]) -> Vec<RunnerId> {
+    /// Removes all instances except for `live`; returns the removed ones.
+    pub(crate) fn retain_instances(&self, live: &[RunnerId]) -> Vec<RunnerId> {
         let mut state = self.lock();
         let changes = InstanceChanges {
             changed: Vec::new(),
             gone: state.instances.keep(live),
         };
-        state.follow(&changes);
+        state.apply_changes(&changes);
         drop(state);
-        self.changed();
+        self.notify_change();
         changes.gone
     }
 
-    /// Digests of the instances that are known.
+    /// Digests of the known instances, by part.
     pub(crate) fn digests(&self) -> InstanceDigests {
         self.lock().instances.digests().clone()
     }
@@ -225,38 +238,49 @@
         state.routers = routers.max(1);
         let routers = state.routers;
         state.selector.set_routers(routers);
-        let late = usage_lag(state.routers, state.instances.len());
-        state.selector.set_usage(usage, late, now);
+        let lag = usage_lag(state.routers, state.instances.len());
+        state.selector.set_usage(usage, lag, now);
     }
 
-    /// Chooses an instance and counts the request there.
+    /// Selects an instance and counts the request as in flight there.
     pub(crate) fn choose(
         &self,
         service: &Service,
         shape: &PromptShape,
-        avoid: &[RunnerId],
+        avoided: &[RunnerId],
         now: Timestamp,
     ) -> Option<(Candidate, InstanceView)> {
-        self.choose_by(service, shape, now, |selector, instances, own_limit| {
-            let views = instances.holders(&service.name, &shape.model);
-            selector.choose(shape, views, avoid, own_limit, now)
-        })
-    }
-
-    /// The same for an instance that takes a request only in a later turn by its limit.
-    pub(crate) fn choose_turn(
+        self.choose_using(
+            service,
+            shape,
+            now,
+            |selector, instances, in_flight_limit| {
+                let views = instances.holders(&service.name, &shape.model);
+                selector.choose(shape, views, avoided, in_flight_limit, now)
+            },
+        )
+    }
+
+    /// Like [`Self::choose`], for an instance whose rate limit allows the request only at a
+    /// later send permit.
+    pub(crate) fn choose_with_permit(
         &self,
         service: &Service,
         shape: &PromptShape,
         now: Timestamp,
     ) -> Option<(Candidate, InstanceView)> {
-        self.choose_by(service, shape, now, |selector, instances, own_limit| {
-            let views = instances.holders(&service.name, &shape.model);
-            selector.choose_turn(shape, views, own_limit, now)
-        })
-    }
-
-    fn choose_by(
+        self.choose_using(
+            service,
+            shape,
+            now,
+            |selector, instances, in_flight_limit| {
+                let views = instances.holders(&service.name, &shape.model);
+                selector.choose_turn(shape, views, in_flight_limit, now)
+            },
+        )
+    }
+
+    fn choose_using(
         &self,
         service: &Service,
         shape: &PromptShape,
@@ -264,30 +288,30 @@
         choose: impl FnOnce(&mut Selector, &FedInstances, u32) -> Option<Candidate>,
     ) -> Option<(Candidate, InstanceView)> {
         let mut state = self.lock();
-        let own_limit = state.own_limit(service);
+        let in_flight_limit = state.in_flight_limit(service);
         let State {
             instances,
             selector,
             ..
         } = &mut *state;
-        let candidate = choose(selector, instances, own_limit)?;
-        state.begin(candidate, service, shape, now)
+        let candidate = choose(selector, instances, in_flight_limit)?;
+        state.start_request(candidate, service, shape, now)
     }
 
-    /// Whether an instance of the service holds the model, or is about to.
-    pub(crate) fn is_known(&self, service: &Service) -> bool {
+    /// Whether the service has any instance.
+    pub(crate) fn has_instances(&self, service: &Service) -> bool {
         let state = self.lock();
         state.instances.of_service(&service.name).next().is_some()
     }
 
-    /// When an instance is expected to take a request; `None` when nothing is known.
-    pub(crate) fn expected(
+    /// When an instance is expected to accept the request; `None` if nothing is known.
+    pub(crate) fn expected_availability(
         &self,
         service: &Service,
         shape: &PromptShape,
         now: Timestamp,
-    ) -> Option<Expected> {
-        self.lock().expected(service, shape, now)
+    ) -> Option<Availability> {
+        self.lock().expected_availability(service, shape, now)
     }
 
     pub(crate) fn first_answer(&self, candidate: &Candidate, waited: Millis, good: bool) {
@@ -295,198 +319,212 @@
         let has_room = state.selector.first_answer(candidate, waited, good);
         drop(state);
         if has_room {
-            self.changed();
+            self.notify_change();
         }
     }
 
-    pub(crate) fn end(&self, candidate: &Candidate, answered: bool) {
+    pub(crate) fn finish_request(&self, candidate: &Candidate, answered: bool) {
         let has_room = self.lock().selector.end(candidate, answered);
         if has_room {
-            self.changed();
+            self.notify_change();
         }
     }
 
-    /// Notes that an instance did not run a request: nothing of it counts as read or asked
-    /// for there.
-    pub(crate) fn turned_away(&self, candidate: &Candidate, service: &str, shape: &PromptShape) {
+    /// Records that an instance did not run a request: its tokens no longer count as
+    /// processed or as demand there.
+    pub(crate) fn mark_not_run(&self, candidate: &Candidate, service: &str, shape: &PromptShape) {
         let mut state = self.lock();
         state.selector.turned_away(candidate);
         let tokens = candidate.uncached_tokens;
-        state.demand.turned_away(service, shape, tokens);
+        state.demand.subtract_tokens(service, shape, tokens);
     }
 
-    pub(crate) fn unreachable(&self, instance: &RunnerId, now: Timestamp) {
+    pub(crate) fn mark_unreachable(&self, instance: &RunnerId, now: Timestamp) {
         self.lock().selector.unreachable(instance, now);
     }
 
-    pub(crate) fn suspect(&self, instance: &RunnerId, now: Timestamp) {
+    pub(crate) fn mark_suspect(&self, instance: &RunnerId, now: Timestamp) {
         self.lock().selector.suspect(instance, now);
     }
 
-    /// Notes that an instance does not have what a request asks for, or is another one.
-    pub(crate) fn lacks(&self, instance: &RunnerId, shape: &PromptShape, now: Timestamp) {
+    /// Records that an instance does not hold the requested model, or that another instance
+    /// answers at its address.
+    pub(crate) fn mark_lacking(&self, instance: &RunnerId, shape: &PromptShape, now: Timestamp) {
         self.lock().selector.lacks(instance, shape, now);
     }
 
-    /// Notes that an instance asked for rest.
-    pub(crate) fn asked_rest(&self, instance: &RunnerId, rest: Millis, now: Timestamp) {
-        self.lock().selector.asked_rest(instance, rest, now);
+    /// Records that an instance asked for a backoff.
+    pub(crate) fn start_backoff(&self, instance: &RunnerId, backoff: Millis, now: Timestamp) {
+        self.lock().selector.asked_rest(instance, backoff, now);
     }
 
-    /// Notes which limit an answer names to a request that was sent at `asked_at`; none: it
-    /// names no limit.
-    pub(crate) fn heard_limit(
+    /// Records the rate limit in the response to a request that was sent at `sent_at`; `None`
+    /// if the response names no limit.
+    pub(crate) fn observe_limit(
         &self,
         instance: &RunnerId,
         rate: Option<RequestRate>,
-        asked_at: Timestamp,
+        sent_at: Timestamp,
     ) -> LimitNews {
         let now = self.clock.now();
         let mut state = self.lock();
-        let news = state.selector.heard_limit(instance, rate, asked_at, now);
+        let change = state.selector.heard_limit(instance, rate, sent_at, now);
         drop(state);
-        if news == LimitNews::Lifted {
-            self.changed();
+        if change == LimitNews::Lifted {
+            self.notify_change();
         }
-        news
+        change
     }
 
-    /// Takes over what the leader tells of limits; returns what is news.
-    pub(crate) fn told_limits(&self, words: &[LimitWord]) -> Vec<LimitWord> {
+    /// Applies the rate limits sent by the leader; returns those that changed.
+    pub(crate) fn apply_leader_limits(&self, limits: &[LimitWord]) -> Vec<LimitWord> {
         let now = self.clock.now();
-        let news = self.lock().selector.told_limits(words, now);
-        if news.iter().any(|word| word.rate.is_none()) {
-            self.changed();
+        let changes = self.lock().selector.told_limits(limits, now);
+        if changes.iter().any(|limit| limit.rate.is_none()) {
+            self.notify_change();
         }
-        news
+        changes
     }
 
-    /// What the leader has to be told of limits.
-    pub(crate) fn take_untold_limits(&self) -> Vec<LimitWord> {
+    /// Rate limits that have not been reported to the leader yet.
+    pub(crate) fn take_unreported_limits(&self) -> Vec<LimitWord> {
         let now = self.clock.now();
         self.lock().selector.take_untold_limits(now)
     }
 
-    /// What to do with a request for an instance, by its limit: see [`Selector::limit_step`].
-    pub(crate) fn limit_step(&self, instance: &RunnerId, patience: Millis, led: bool) -> LimitStep {
+    /// How to handle a request for an instance with a rate limit: see [`Selector::limit_step`].
+    pub(crate) fn limit_step(
+        &self,
+        instance: &RunnerId,
+        max_wait: Millis,
+        has_leader: bool,
+    ) -> LimitStep {
         let now = self.clock.now();
         let mut state = self.lock();
-        state.selector.limit_step(instance, patience, led, now)
+        state
+            .selector
+            .limit_step(instance, max_wait, has_leader, now)
     }
 
-    /// Notes the end of a question on an instance's limit, with the answer if it came.
-    pub(crate) fn asked_limit(&self, instance: &RunnerId, verdict: Option<LimitVerdict>) {
+    /// Records the end of a limit query to the leader, with the verdict if one arrived.
+    pub(crate) fn finish_limit_query(&self, instance: &RunnerId, verdict: Option<LimitVerdict>) {
         let now = self.clock.now();
         self.lock().selector.asked_limit(instance, verdict, now);
-        self.changed();
+        self.notify_change();
     }
 
-    /// The limit that an instance names.
+    /// The rate limit that an instance names.
     pub(crate) fn limit_of(&self, instance: &RunnerId) -> Option<RequestRate> {
         self.lock().selector.limit_of(instance)
     }
 
-    /// Notes that an instance says that it leaves; returns whether that is news.
-    pub(crate) fn leaves(&self, instance: &RunnerId, now: Timestamp) -> bool {
+    /// Records that an instance reported that it is leaving; returns whether this is new.
+    pub(crate) fn mark_leaving(&self, instance: &RunnerId, now: Timestamp) -> bool {
         self.lock().selector.leaves(instance, now)
     }
 
-    /// What an instance asked for that holds now: to rest, or that it leaves.
-    pub(crate) fn asked_for(&self, instance: &RunnerId, now: Timestamp) -> Option<Pushback> {
+    /// The pushback of an instance that applies now: a backoff, or that it is leaving.
+    pub(crate) fn active_pushback(&self, instance: &RunnerId, now: Timestamp) -> Option<Pushback> {
         self.lock().selector.asked_for(instance, now)
     }
 
-    /// Whether an instance is known.
-    pub(crate) fn knows(&self, instance: &RunnerId) -> bool {
+    /// Whether the feed lists the instance.
+    pub(crate) fn has_instance(&self, instance: &RunnerId) -> bool {
         self.lock().instances.contains(instance)
     }
 
-    /// Where an instance is that is known.
-    pub(crate) fn place_of(&self, instance: &RunnerId) -> Option<InstancePlace> {
+    /// Address and health path of an instance that the feed lists.
+    pub(crate) fn probe_target(&self, instance: &RunnerId) -> Option<ProbeTarget> {
         let state = self.lock();
         let view = state.instances.get(instance)?;
         let table = state.table.as_ref();
         let service = table.and_then(|table| table.service(&view.service));
-        Some(InstancePlace {
+        Some(ProbeTarget {
             address: view.address.clone(),
             health_path: service.and_then(|service| service.health_path.clone()),
         })
     }
 
     /// Counts a client's request for a service.
-    pub(crate) fn arrived(
+    pub(crate) fn count_arrival(
         &self,
         service: &str,
         shape: &PromptShape,
         objective: Millis,
         now: Timestamp,
     ) {
-        let (ratio, slack, window) = self.retry;
+        let (ratio, slack, window) = self.retry_settings;
         let mut state = self.lock();
         let budgets = &mut state.budgets;
         let budget = budgets
             .entry(service.to_owned())
             .or_insert_with(|| RetryBudget::new(ratio, slack, window).seeded(rand::random()));
         budget.request(now);
-        state.demand.arrived(service, shape, objective);
+        state.demand.count_arrival(service, shape, objective);
     }
 
-    /// Counts an answer that an instance gave later than the objective.
-    pub(crate) fn late(&self, service: &str, shape: &PromptShape) {
-        self.lock().demand.late(service, shape);
+    /// Counts a response whose first part came later than the objective.
+    pub(crate) fn count_late(&self, service: &str, shape: &PromptShape) {
+        self.lock().demand.count_late(service, shape);
     }
 
-    /// Takes one retry out of the budget.
-    pub(crate) fn may_retry(&self, service: &str, now: Timestamp) -> bool {
+    /// Takes one retry from the retry budget; returns whether it had one.
+    pub(crate) fn take_retry(&self, service: &str, now: Timestamp) -> bool {
         let mut state = self.lock();
         let routers = state.routers;
         let budget = state.budgets.get_mut(service);
         budget.is_some_and(|budget| budget.take(routers, now))
     }
 
-    /// Counts a request that waits for its model until the guard is dropped.
-    pub(crate) fn wait_for<'a>(&'a self, service: &str, shape: &PromptShape) -> WaitGuard<'a> {
+    /// Counts a request as waiting for its model until the guard is dropped.
+    pub(crate) fn register_waiting<'a>(
+        &'a self,
+        service: &str,
+        shape: &PromptShape,
+    ) -> WaitGuard<'a> {
         let key = DemandKey::of(service, shape);
-        self.lock().demand.waits(&key);
-        self.news.notify_one();
+        self.lock().demand.add_waiting(&key);
+        self.report_due.notify_one();
         WaitGuard { view: self, key }
     }
 
-    /// Notes that a leader's feed begins, which has to be told everything.
-    pub(crate) fn begin_leader(&self) {
+    /// Resets what was reported, because the feed of a new leader starts, which has no reports of
+    /// this router.
+    pub(crate) fn start_leader_feed(&self) {
         let mut state = self.lock();
-        state.reported = None;
+        state.last_report = None;
         state.selector.tell_limits_anew();
         drop(state);
-        self.news.notify_one();
+        self.report_due.notify_one();
     }
 
-    /// What to report, if there is anything new; counts start anew. Most routers of a large
-    /// fleet are idle most of the time: they say nothing.
+    /// The usage report to send, if it contains anything new; resets the counters. Most routers
+    /// of a large fleet are idle most of the time and send nothing.
     pub(crate) fn take_report(&self, now: Timestamp) -> Option<ReportMessage> {
         let mut state = self.lock();
         let instances = state.selector.usage();
         let unreachable = state.selector.all_unreachable(now);
-        let leaving = state.leaving_by_their_word();
+        let leaving = state.reported_leaving();
         let demand = state.demand.take();
-        // What is fed shows when the leader knows of those that leave; until then it is told.
-        let may_repeat = demand.is_empty() && unreachable.is_empty() && leaving.is_empty();
+        // Leaving instances are reported until the feed shows that the leader has recorded
+        // them.
+        let is_skippable = demand.is_empty() && unreachable.is_empty() && leaving.is_empty();
         let report = ReportMessage::Usage {
-            configuration: state.number(),
+            configuration: state.configuration_number(),
             instances,
             demand,
             unreachable,
             leaving,
         };
-        if may_repeat && state.reported.as_ref() == Some(&report) {
+        if is_skippable && state.last_report.as_ref() == Some(&report) {
             return None;
         }
-        state.reported = Some(report.clone());
+        state.last_report = Some(report.clone());
         Some(report)
     }
 }
 
-/// See [`View::wait_for`].
+/// Guard returned by [`View::register_waiting`].
 pub(crate) struct WaitGuard<'a> {
     view: &'a View,
     key: DemandKey,
@@ -494,6 +532,6 @@
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.view.lock().demand.waits_no_more(&self.key);
+        self.view.lock().demand.remove_waiting(&self.key);
     }
 }
--- a/crates/gateway/src/view/state.rs
+++ b/crates/gateway/src/view/state.rs
@@ -1,7 +1,7 @@
-//! What is known behind the view's lock, and when instances are expected.
+//! State behind the lock of the view, and the estimate when an instance can accept a request.
 
 use crate::current_document::CurrentDocument;
-use crate::demand::DemandBook;
+use crate::demand::DemandTracker;
 use courseshunt_services::fed_instances::InstanceChanges;
 use courseshunt_services::{
     Candidate, FedInstances, InstanceState, InstanceView, PromptShape, Pushback, ReportMessage,
@@ -13,77 +13,79 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time in which an adapter is loaded, about.
-const ADAPTER_TIME: Duration = Duration::from_millis(60);
-/// Time in which an instance answers one of the few requests that it gets after a rest, about.
-const RETURN_TIME: Duration = Duration::from_millis(60);
-/// Connections to one instance that are left to other callers, as a divisor.
-const CONNECTION_RESERVE: u32 = 8;
-/// When an instance is expected to take a request.
+/// Estimated time to load an adapter.
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(60);
+/// Estimated time in which an instance answers one of the few requests that it is sent right
+/// after a backoff.
+const AFTER_BACKOFF_ANSWER_TIME: Duration = Duration::from_millis(60);
+/// One part in this many of the connections to an instance is reserved for other clients of it.
+const RESERVED_CONNECTION_DIVISOR: u32 = 8;
+/// When an instance is expected to accept a request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Expected {
+pub(crate) struct Availability {
     pub(crate) at: Instant,
-    /// It asked for rest until then, or has just rested.
-    pub(crate) pushed_back: bool,
-    /// Its limit allows a request then: a turn can be asked for.
-    pub(crate) in_turn: bool,
+    /// The instance is in backoff or rate-limited until then, or its backoff has just ended.
+    pub(crate) in_backoff: bool,
+    /// The rate limit of the instance allows a request then, so a send permit can be requested.
+    pub(crate) can_request_permit: bool,
 }
 
-impl Expected {
-    fn at_once() -> Self {
+impl Availability {
+    fn immediate() -> Self {
         Self {
             at: Instant::now(),
-            pushed_back: false,
-            in_turn: false,
+            in_backoff: false,
+            can_request_permit: false,
         }
     }
 
-    fn pushed_back(wait: Duration) -> Self {
+    fn after_backoff(wait: Duration) -> Self {
         Self {
             at: Instant::now() + wait,
-            pushed_back: true,
-            in_turn: false,
+            in_backoff: true,
+            can_request_permit: false,
         }
     }
 
-    fn in_turn(wait: Duration) -> Self {
+    fn at_permit(wait: Duration) -> Self {
         Self {
-            in_turn: true,
-            ..Self::pushed_back(wait)
+            can_request_permit: true,
+            ..Self::after_backoff(wait)
         }
     }
 }
 
 pub(super) struct State {
     pub(super) table: Option<Arc<RouteTable>>,
-    /// The configuration in force, in the operator's form.
+    /// Document of the configuration in force, in the operator's format.
     pub(super) document: CurrentDocument,
-    /// A newer configuration is in force elsewhere since then.
-    pub(super) behind_since: Option<Timestamp>,
+    /// Since when a newer configuration is known to be in force elsewhere.
+    pub(super) stale_since: Option<Timestamp>,
     pub(super) instances: FedInstances,
-    /// When models that are being loaded will be there.
+    /// Expected completion of model loads, by instance and model.
     pub(super) loading: BTreeMap<RunnerId, Vec<(String, Instant)>>,
     pub(super) selector: Selector,
-    pub(super) demand: DemandBook,
+    pub(super) demand: DemandTracker,
     pub(super) budgets: HashMap<String, RetryBudget>,
     pub(super) routers: u32,
-    /// What was reported last to the present leader.
-    pub(super) reported: Option<ReportMessage>,
+    /// Last report sent to the current leader.
+    pub(super) last_report: Option<ReportMessage>,
 }
 
 impl State {
-    pub(super) fn number(&self) -> u64 {
+    pub(super) fn configuration_number(&self) -> u64 {
         self.table.as_ref().map_or(0, |table| table.number())
     }
 
-    /// Requests that this router may have under way at one instance.
-    pub(super) fn own_limit(&self, service: &Service) -> u32 {
-        let usable = service.max_connections - service.max_connections / CONNECTION_RESERVE;
+    /// Maximum number of requests that this router may have in flight at one instance.
+    pub(super) fn in_flight_limit(&self, service: &Service) -> u32 {
+        let usable =
+            service.max_connections - service.max_connections / RESERVED_CONNECTION_DIVISOR;
         (usable / self.routers).max(2)
     }
 
-    /// Counts a request at the instance that was chosen for it.
-    pub(super) fn begin(
+    /// Counts a request as in flight at the selected instance.
+    pub(super) fn start_request(
         &mut self,
         candidate: Candidate,
         service: &Service,
@@ -93,71 +95,72 @@
         self.selector.begin(&candidate, shape, now);
         let view = self.instances.get(&candidate.instance)?.clone();
         let tokens = candidate.uncached_tokens;
-        self.demand.sent(&service.name, shape, tokens);
+        self.demand.count_tokens(&service.name, shape, tokens);
         Some((candidate, view))
     }
 
-    /// Instances that are fed as ready and said that they leave.
-    pub(super) fn leaving_by_their_word(&self) -> Vec<RunnerId> {
-        let said = self.selector.leaving();
-        let ready = said.filter(|id| {
+    /// Instances that reported that they are leaving while the feed still lists them as ready.
+    pub(super) fn reported_leaving(&self) -> Vec<RunnerId> {
+        let leaving = self.selector.leaving();
+        let ready = leaving.filter(|id| {
             let view = self.instances.get(id);
             view.is_some_and(|view| view.state == InstanceState::Ready)
         });
         ready.cloned().collect()
     }
 
-    /// See [`super::View::expected`].
-    pub(super) fn expected(
+    /// See [`super::View::expected_availability`].
+    pub(super) fn expected_availability(
         &self,
         service: &Service,
         shape: &PromptShape,
         now: Timestamp,
-    ) -> Option<Expected> {
+    ) -> Option<Availability> {
         let holders = self.instances.holders(&service.name, &shape.model);
         let loaders = self.instances.loaders(&service.name, &shape.model);
         let views = holders.chain(loaders);
         let views = views.filter(|view| view.state == InstanceState::Ready);
         let views = views.filter(|view| !self.selector.is_unreachable(&view.id, now));
-        let mut earliest: Option<Expected> = None;
+        let mut earliest: Option<Availability> = None;
         for view in views {
-            let free = match self.selector.pushback(view, now) {
-                None => Expected::at_once(),
-                Some(Pushback::Rest(left)) => Expected::pushed_back(left.into()),
-                Some(Pushback::Returns) => Expected::pushed_back(RETURN_TIME),
-                Some(Pushback::Limited(left)) => Expected::in_turn(left.into()),
+            let base = match self.selector.pushback(view, now) {
+                None => Availability::immediate(),
+                Some(Pushback::Rest(left)) => Availability::after_backoff(left.into()),
+                Some(Pushback::Returns) => Availability::after_backoff(AFTER_BACKOFF_ANSWER_TIME),
+                Some(Pushback::Limited(left)) => Availability::at_permit(left.into()),
                 Some(Pushback::Leaving) => continue,
             };
             let at = if view.holds(&shape.model, None) {
-                // It may be another instance by now: then its word is tried again later.
-                let lacking = self.selector.lacks_for(&view.id, shape, now);
-                let lacking = lacking.map(|left| Instant::now() + Duration::from(left));
-                Some(lacking.map_or(free.at, |until| until.max(free.at)) + ADAPTER_TIME)
+                // Another instance may have taken over the address by now, so the model is
+                // tried again once this report expires.
+                let missing_until = self.selector.lacks_for(&view.id, shape, now);
+                let missing_until = missing_until.map(|left| Instant::now() + Duration::from(left));
+                Some(missing_until.map_or(base.at, |until| until.max(base.at)) + ADAPTER_LOAD_TIME)
             } else if service.engine.is_some() {
-                let loaded = self.loaded_at(view, shape);
-                loaded.map(|at| at.max(free.at))
-            } else if free.pushed_back {
-                Some(free.at)
+                let loaded = self.load_completion(view, shape);
+                loaded.map(|at| at.max(base.at))
+            } else if base.in_backoff {
+                Some(base.at)
             } else {
-                // It is full: nothing tells until when.
+                // The instance is full, and there is no estimate when it has room.
                 return None;
             };
-            let expected = at.map(|at| Expected { at, ..free });
-            let both = earliest.into_iter().chain(expected);
+            let candidate = at.map(|at| Availability { at, ..base });
+            let both = earliest.into_iter().chain(candidate);
             earliest = both.min_by_key(|one| one.at);
         }
         earliest
     }
 
-    /// When the model of a request will be loaded at an instance, if it is being loaded.
-    fn loaded_at(&self, view: &InstanceView, shape: &PromptShape) -> Option<Instant> {
+    /// When the requested model is loaded at an instance, if the load is in progress.
+    fn load_completion(&self, view: &InstanceView, shape: &PromptShape) -> Option<Instant> {
         let due = self.loading.get(&view.id).into_iter().flatten();
         let due = due.filter(|(model, _)| *model == shape.model);
         due.map(|(_, at)| *at).min()
     }
 
-    /// Takes changes over that `instances` has taken already.
-    pub(super) fn follow(&mut self, changes: &InstanceChanges) {
+    /// Updates the derived state after `instances` has applied these changes.
+    pub(super) fn apply_changes(&mut self, changes: &InstanceChanges) {
         let now = Instant::now();
         for view in &changes.changed {
             self.selector.told_anew(&view.id);
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -1,151 +1,154 @@
-//! Whether a request that no instance can take now waits or is given up.
+//! Decides whether a request that no instance can accept now waits or is refused.
 //!
-//! A request that would be answered late all the same is refused at once and
-//! told when to come back: it has not run, and its next attempt finds the model.
-//! One that has come back already waits as long as its client does.
+//! A request that would miss its objective anyway is refused immediately with a Retry-After: it
+//! has not run, and its retry finds the model loaded. A request that is already such a retry
+//! waits as long as its client does.
 
 use courseshunt_types::Millis;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A refusal is cheap for the client within this part of the objective.
-const PROMPT_PART: u32 = 5;
-/// Time of an answer once its instance is there, about.
-const ANSWER_TIME: Duration = Duration::from_millis(120);
-/// Told to come back after so long at least when nothing is known, and after
-/// this part of its time if that is longer.
-const UNKNOWN_RETURN: Duration = Duration::from_millis(1_200);
-const UNKNOWN_RETURN_PART: f64 = 0.2;
-/// Added to the expected time, and this part of it, so that the model is surely
-/// there.
-const RETURN_MARGIN: Duration = Duration::from_millis(60);
-const RETURN_MARGIN_PART: f64 = 0.1;
-/// A request waits no longer than this part of its client's time.
-const CLIENT_TIME_PART: f64 = 0.9;
+/// A refusal within the objective divided by this costs the client little.
+const EARLY_REFUSAL_DIVISOR: u32 = 5;
+/// Estimated time from the moment an instance is available to the response.
+const ASSUMED_ANSWER_TIME: Duration = Duration::from_millis(120);
+/// Retry-After if there is no estimate when an instance is available: at least this time, or
+/// this fraction of the remaining time if that is longer.
+const UNKNOWN_RETRY_AFTER: Duration = Duration::from_millis(1_200);
+const UNKNOWN_RETRY_AFTER_FRACTION: f64 = 0.2;
+/// Added to the estimate, together with this fraction of it, so that the model is certainly
+/// loaded when the client retries.
+const RETRY_AFTER_MARGIN: Duration = Duration::from_millis(60);
+const RETRY_AFTER_MARGIN_FRACTION: f64 = 0.1;
+/// Maximum wait, as a fraction of the client's timeout.
+const CLIENT_TIME_FRACTION: f64 = 0.9;
 
-/// A client that returns and of whose model nothing is known waits this part of
-/// its time.
-const BLIND_PART: f64 = 0.45;
+/// Maximum wait of a retry whose model has no load estimate, as a fraction of its deadline.
+const UNKNOWN_WAIT_FRACTION: f64 = 0.45;
 
-/// What the decision rests on.
+/// Input to the decision.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitContext {
     /// When the request arrived.
     pub arrived: Instant,
-    /// When its time is over.
+    /// When the deadline of the request passes.
     pub deadline: Instant,
-    /// Time within which the answer earns its full credit.
+    /// Time within which a response meets the service-level objective.
     pub objective: Duration,
-    /// How long the client waits for the first part of the answer.
+    /// How long the client waits for the first part of the response.
     pub first_byte_timeout: Option<Duration>,
-    /// Whether the client was refused before.
+    /// Whether this is the retry of a request that was refused before.
     pub is_client_retry: bool,
-    /// Whether instances of the service can be told to load the model.
+    /// Whether the service has instances that can be ordered to load the model.
     pub can_load_model: bool,
-    /// When an instance is expected to be there: with the model, and its rest over.
+    /// When an instance is expected to accept the request: model loaded and backoff over.
     pub expected_at: Option<Instant>,
-    /// Whether that instance asked for rest until then, or takes no more until then by its limit.
+    /// Whether that instance is in backoff or rate-limited until then.
     pub in_backoff: bool,
-    /// Whether its limit allows a request then: a turn can be asked for.
+    /// Whether the rate limit of that instance allows a request then, so that a send permit can
+    /// be requested.
     pub can_request_permit: bool,
 }
 
-/// The decision.
+/// Result of the decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitDecision {
-    /// Wait, at most until then.
-    Until(Instant),
-    /// Give up now.
-    GiveUp {
-        /// When it makes sense to come back.
+    /// Wait until this time at most.
+    WaitUntil(Instant),
+    /// Refuse immediately.
+    Refuse {
+        /// When a retry is likely to succeed.
         retry_after: Millis,
     },
 }
 
-/// Decides.
-pub fn decide(situation: &WaitContext, now: Instant) -> WaitDecision {
-    let limit = match situation.is_client_retry {
-        true => limit_returning(situation, now),
-        false => limit_first(situation, now),
+/// Decides whether the request waits or is refused.
+pub fn decide(context: &WaitContext, now: Instant) -> WaitDecision {
+    let limit = match context.is_client_retry {
+        true => retry_wait_limit(context, now),
+        false => first_wait_limit(context, now),
     };
     if now < limit {
-        return WaitDecision::Until(limit);
+        return WaitDecision::WaitUntil(limit);
     }
-    WaitDecision::GiveUp {
-        retry_after: retry_after(situation, now),
+    WaitDecision::Refuse {
+        retry_after: retry_after(context, now),
     }
 }
 
-/// How long a request may wait for its turn at an instance: until it would be answered late,
-/// or, where a refusal helps no more, as long as its client waits.
-pub fn max_permit_wait(situation: &WaitContext, now: Instant) -> Duration {
-    let in_time = situation.arrived + situation.objective;
-    let refusal_helps = now <= situation.prompt() && !situation.is_client_retry;
+/// How long a request may wait for a send permit: until it would miss its objective, or as long
+/// as its client waits if an early refusal is no longer possible.
+pub fn max_permit_wait(context: &WaitContext, now: Instant) -> Duration {
+    let in_time = context.arrived + context.objective;
+    let refusal_helps = now <= context.early_refusal_until() && !context.is_client_retry;
     let answered_by = match refusal_helps {
-        true => in_time.min(situation.end()),
-        false => situation.end(),
+        true => in_time.min(context.client_waits_until()),
+        false => context.client_waits_until(),
     };
-    answered_by.saturating_duration_since(now + ANSWER_TIME)
+    answered_by.saturating_duration_since(now + ASSUMED_ANSWER_TIME)
 }
 
-/// How long a request waits that has come back: as long as its client does,
-/// where that makes sense.
-fn limit_returning(situation: &WaitContext, now: Instant) -> Instant {
-    match situation.expected_at {
-        None if !situation.can_load_model => situation.prompt(),
-        None => situation.arrived + situation.whole().mul_f64(BLIND_PART),
-        Some(expected) if expected + ANSWER_TIME <= situation.end() => situation.end(),
-        // No order makes a rest shorter.
-        Some(_) if situation.in_backoff => now,
-        Some(_) => situation.prompt(),
+/// Latest time until which a retry waits: as long as its client does, if the instance is
+/// available by then.
+fn retry_wait_limit(context: &WaitContext, now: Instant) -> Instant {
+    match context.expected_at {
+        None if !context.can_load_model => context.early_refusal_until(),
+        None => context.arrived + context.time_budget().mul_f64(UNKNOWN_WAIT_FRACTION),
+        Some(expected) if expected + ASSUMED_ANSWER_TIME <= context.client_waits_until() => {
+            context.client_waits_until()
+        }
+        // A backoff can't be shortened by loading the model elsewhere.
+        Some(_) if context.in_backoff => now,
+        Some(_) => context.early_refusal_until(),
     }
 }
 
-/// How long a request waits that was not refused before.
-fn limit_first(situation: &WaitContext, now: Instant) -> Instant {
-    let Some(expected) = situation.expected_at else {
-        return situation.prompt();
+/// Latest time until which a request waits that was not refused before.
+fn first_wait_limit(context: &WaitContext, now: Instant) -> Instant {
+    let Some(expected) = context.expected_at else {
+        return context.early_refusal_until();
     };
-    let answer = expected + ANSWER_TIME;
-    let in_time = answer <= situation.arrived + situation.objective;
-    // Refused after that moment it would be late all the same.
-    let refusal_helps = now <= situation.prompt();
-    match in_time || !refusal_helps && answer <= situation.end() {
-        true => situation.end(),
+    let answer = expected + ASSUMED_ANSWER_TIME;
+    let in_time = answer <= context.arrived + context.objective;
+    // A refusal after that would not make the retry meet the objective.
+    let refusal_helps = now <= context.early_refusal_until();
+    match in_time || !refusal_helps && answer <= context.client_waits_until() {
+        true => context.client_waits_until(),
         false => now,
     }
 }
 
-/// When it makes sense to come back: surely not before the model is there, since
-/// a request that is refused again is lost.
-pub(crate) fn retry_after(situation: &WaitContext, now: Instant) -> Millis {
-    let wait = match situation.expected_at {
+/// When a retry is likely to succeed: not before the model is loaded, because a request that is
+/// refused twice is lost.
+pub(crate) fn retry_after(context: &WaitContext, now: Instant) -> Millis {
+    let wait = match context.expected_at {
         Some(expected) => {
             let wait = expected.saturating_duration_since(now);
-            wait + wait.mul_f64(RETURN_MARGIN_PART) + RETURN_MARGIN
+            wait + wait.mul_f64(RETRY_AFTER_MARGIN_FRACTION) + RETRY_AFTER_MARGIN
         }
         None => {
-            let left = situation.deadline.saturating_duration_since(now);
-            left.mul_f64(UNKNOWN_RETURN_PART).max(UNKNOWN_RETURN)
+            let left = context.deadline.saturating_duration_since(now);
+            left.mul_f64(UNKNOWN_RETRY_AFTER_FRACTION)
+                .max(UNKNOWN_RETRY_AFTER)
         }
     };
     Millis(u64::try_from(wait.as_millis()).unwrap_or(u64::MAX))
 }
 
 impl WaitContext {
-    /// Until then a refusal is cheap for the client.
-    fn prompt(&self) -> Instant {
-        self.arrived + self.objective / PROMPT_PART
+    /// Until then a refusal costs the client little.
+    fn early_refusal_until(&self) -> Instant {
+        self.arrived + self.objective / EARLY_REFUSAL_DIVISOR
     }
 
-    fn whole(&self) -> Duration {
+    fn time_budget(&self) -> Duration {
         self.deadline - self.arrived
     }
 
-    /// Until then its client surely waits.
-    fn end(&self) -> Instant {
-        let whole = self.whole();
-        let patience = self.first_byte_timeout.unwrap_or(whole);
-        self.arrived + whole.min(patience).mul_f64(CLIENT_TIME_PART)
+    /// Until then the client certainly waits.
+    fn client_waits_until(&self) -> Instant {
+        let budget = self.time_budget();
+        let first_byte_timeout = self.first_byte_timeout.unwrap_or(budget);
+        self.arrived + budget.min(first_byte_timeout).mul_f64(CLIENT_TIME_FRACTION)
     }
 }
--- a/crates/gateway/tests/directory.rs
+++ b/crates/gateway/tests/directory.rs
@@ -1,7 +1,7 @@
-//! A router asks a controller that came back with an empty disk: it knows no members, and
-//! its empty answer must not make the router forget those it was told of before. With
-//! settings that name machines that are gone it would never find the group again. And 1,000
-//! routers are spread over controllers by themselves, near ones first.
+//! A controller that has lost its disk has no members and sends an empty member list. The
+//! router must not replace the members that it has by that list: with settings that name
+//! machines that no longer exist, it would never find the group again. Also, 1,000 routers
+//! spread evenly over the controllers, and those of the own zone come first.
 
 use courseshunt_gateway::directory::{Directory, KnownMember};
 use courseshunt_types::Zone;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_answer_without_members_forgets_none() {
+fn an_empty_member_list_is_ignored() {
     let mut directory = directory("router-1");
     directory.set_seeds(vec![address(1)]);
     directory.set_members(vec![member(2, None), member(3, None)]);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn nobody_is_asked_twice() {
+fn candidates_have_no_duplicates() {
     let mut directory = directory("router-1");
     directory.set_seeds(vec![address(1), address(2), address(1)]);
     directory.set_members(vec![member(2, None), member(3, None)]);
@@ -53,15 +53,15 @@
     assert_eq!(
         sorted(candidates),
         [address(1), address(2), address(3)],
-        "each once"
+        "no duplicates"
     );
 }
 
-/// All seven routers of a site left the three founders of its group, their own zone's among
-/// them, for the two controllers that joined later, so that two lost controllers cost all of
-/// them their feed. They had asked the founders before those listened; what had failed them
-/// in that moment counted for half a minute, also while it fed them. From a router's records,
-/// in seconds, its own zone's controller being 10.3.0.28:
+/// All seven routers of a site left the three founders of its group, among them the controller
+/// of their own zone, for the two controllers that joined later. When these two were lost, all
+/// routers lost their feed. The routers had dialled the founders before those listened, and
+/// that failure counted for half a minute, even while the founder sent them a feed. From a
+/// router's records, time in seconds; the controller of its own zone is 10.3.0.28:
 ///
 /// ```text
 /// -9.993 feed_sought controller 10.3.0.28 problem connection refused
@@ -69,43 +69,52 @@
 /// -6.363 feed_regained controller 10.1.0.23
 /// ```
 #[test]
-fn a_controller_that_feeds_a_router_is_not_left_for_a_worse_one() {
+fn a_router_keeps_its_controller_unless_a_preferred_one_is_available() {
     let mut directory = directory("router-1");
     directory.set_members((1..=5).map(|one| member(one, None)).collect());
     let order = directory.candidates();
     let failed = [order[0], order[1]];
     assert!(
-        !directory.has_better(order[0], &failed),
-        "the best one feeds it"
+        !directory.has_preferred(order[0], &failed),
+        "it follows the most preferred one"
     );
     assert!(
-        !directory.has_better(order[1], &failed),
-        "the better one failed it"
+        !directory.has_preferred(order[1], &failed),
+        "the preferred one failed"
+    );
+    assert!(
+        directory.has_preferred(order[3], &failed),
+        "the third one has not failed"
     );
-    assert!(directory.has_better(order[3], &failed), "the third did not");
 }
 
-/// 1,000 routers at 15 controllers: the busiest has at most one and a half times the mean,
-/// and the routers of one that is lost are spread over all others.
+/// With 1,000 routers and 15 controllers, the busiest controller has at most 1.5 times the mean
+/// number of routers, and the routers of a lost controller spread over all others.
 #[test]
-fn routers_are_spread_over_controllers_also_after_a_loss() {
+fn routers_spread_over_controllers_also_after_a_loss() {
     let members: Vec<KnownMember> = (1..=15).map(|one| member(one, None)).collect();
     let lost = address(7);
-    let mut first = BTreeMap::new();
-    let mut after = BTreeMap::new();
+    let mut first_choices = BTreeMap::new();
+    let mut second_choices = BTreeMap::new();
     for number in 0..1_000 {
         let mut directory = directory(&format!("router-{number}"));
         directory.set_members(members.clone());
         let candidates = directory.candidates();
-        *first.entry(candidates[0]).or_insert(0) += 1;
+        *first_choices.entry(candidates[0]).or_insert(0) += 1;
         if candidates[0] == lost {
-            *after.entry(candidates[1]).or_insert(0) += 1;
+            *second_choices.entry(candidates[1]).or_insert(0) += 1;
         }
     }
-    assert_eq!(first.len(), 15);
-    assert!(first.values().all(|count| *count <= 100), "{first:?}");
-    assert!(after.len() >= 12, "{after:?}");
-    assert!(after.values().all(|count| *count <= 15), "{after:?}");
+    assert_eq!(first_choices.len(), 15);
+    assert!(
+        first_choices.values().all(|count| *count <= 100),
+        "{first_choices:?}"
+    );
+    assert!(second_choices.len() >= 12, "{second_choices:?}");
+    assert!(
+        second_choices.values().all(|count| *count <= 15),
+        "{second_choices:?}"
+    );
 }
 
 #[test]
@@ -118,35 +127,35 @@
     let candidates = directory.candidates();
     assert_eq!(sorted(candidates[..2].to_vec()), [address(2), address(4)]);
     assert_eq!(candidates.len(), 6);
-    assert!(directory.has_better(address(1), &[]));
-    assert!(directory.has_better(candidates[1], &[]));
-    assert!(!directory.has_better(candidates[0], &[]));
+    assert!(directory.has_preferred(address(1), &[]));
+    assert!(directory.has_preferred(candidates[1], &[]));
+    assert!(!directory.has_preferred(candidates[0], &[]));
     let failed = [address(2), address(4)];
     assert!(
-        !directory.has_better(candidates[2], &failed),
-        "the near ones failed"
+        !directory.has_preferred(candidates[2], &failed),
+        "the local ones failed"
     );
     assert_eq!(directory.next(&failed), Some(candidates[2]));
     assert_eq!(directory.next(&candidates), None);
 }
 
-/// A whole fleet starts: routers come while the first three controllers are the only
-/// members. Once all have joined, each has its part.
+/// When a whole site starts, routers subscribe while the first three controllers are the only
+/// members. Once all controllers have joined, each of them must get its share of the routers.
 #[test]
-fn controllers_that_join_later_get_their_part() {
+fn controllers_that_join_later_get_their_share() {
     let founders = [member(1, None), member(2, None), member(3, None)];
     let all: Vec<KnownMember> = (1..=15).map(|one| member(one, None)).collect();
-    let mut follow = BTreeMap::new();
+    let mut followed = BTreeMap::new();
     for number in 0..1_000 {
         let mut directory = directory(&format!("router-{number}"));
         directory.set_members(founders.to_vec());
-        let mut present = directory.next(&[]).expect("a member");
+        let mut current = directory.next(&[]).expect("a candidate");
         directory.set_members(all.clone());
-        if directory.has_better(present, &[]) {
-            present = directory.next(&[]).expect("a member");
+        if directory.has_preferred(current, &[]) {
+            current = directory.next(&[]).expect("a candidate");
         }
-        *follow.entry(present).or_insert(0) += 1;
+        *followed.entry(current).or_insert(0) += 1;
     }
-    assert_eq!(follow.len(), 15);
-    assert!(follow.values().all(|count| *count <= 100), "{follow:?}");
+    assert_eq!(followed.len(), 15);
+    assert!(followed.values().all(|count| *count <= 100), "{followed:?}");
 }
--- a/crates/gateway/tests/feed_backoff.rs
+++ b/crates/gateway/tests/feed_backoff.rs
@@ -1,29 +1,30 @@
-//! 1,000 routers have lost their feed at once and no controller has one for 20 s: what they
-//! ask of the controllers stays bounded, and all are back soon after the feed is.
+//! 1,000 routers lose their feed at the same time, and no controller has one for 20 s: the
+//! request rate at the controllers stays bounded, and all routers have a feed again soon after
+//! it returns.
 
 use courseshunt_gateway::feed_backoff::FeedBackoff;
 use std::time::Duration;
 
 const ROUTERS: u32 = 1_000;
 const WITHOUT_FEED: Duration = Duration::from_secs(20);
-/// A controller without a feed answers after this; one that knows that it will have none, at
-/// once.
-const WAIT_AT_CONTROLLER: Duration = Duration::from_millis(500);
-const WAITS: [Duration; 2] = [WAIT_AT_CONTROLLER, Duration::ZERO];
+/// A controller without a feed answers after this time; one that expects none answers
+/// immediately.
+const ANSWER_DELAY: Duration = Duration::from_millis(500);
+const ANSWER_DELAYS: [Duration; 2] = [ANSWER_DELAY, Duration::ZERO];
 
-/// When one router asks, from the loss of its feed until it has one again.
-fn questions(wait: Duration, random: &mut impl FnMut() -> u32) -> Vec<Duration> {
-    let mut pace = FeedBackoff::default();
+/// When a router sends its requests, from the loss of its feed until it has one again.
+fn request_times(answer_delay: Duration, random: &mut impl FnMut() -> u32) -> Vec<Duration> {
+    let mut backoff = FeedBackoff::default();
     let mut now = Duration::ZERO;
-    let mut asked = vec![now];
+    let mut requests = vec![now];
     while now < WITHOUT_FEED {
-        now += wait + pace.without_feed(random(), wait);
-        asked.push(now);
+        now += answer_delay + backoff.after_no_feed(random(), answer_delay);
+        requests.push(now);
     }
-    asked
+    requests
 }
 
-/// Numbers that look random (xorshift).
+/// Pseudo-random numbers (xorshift).
 fn numbers() -> impl FnMut() -> u32 {
     let mut state = 0x9e37_79b9_u32;
     move || {
@@ -35,51 +36,51 @@
 }
 
 #[test]
-fn a_crowd_without_a_feed_asks_less_and_less_and_is_back_soon() {
-    for wait in WAITS {
-        asks_less_and_less_and_is_back_soon(wait);
+fn request_rate_without_a_feed_is_bounded_and_routers_reconnect_soon() {
+    for answer_delay in ANSWER_DELAYS {
+        check_request_rate(answer_delay);
     }
 }
 
-fn asks_less_and_less_and_is_back_soon(wait: Duration) {
+fn check_request_rate(answer_delay: Duration) {
     let mut random = numbers();
-    let mut in_second = vec![0_u32; 22];
+    let mut per_second = vec![0_u32; 22];
     let mut latest = Duration::ZERO;
     for _ in 0..ROUTERS {
-        let asked = questions(wait, &mut random);
-        latest = latest.max(*asked.last().expect("it asks"));
-        for at in asked {
-            in_second[usize::try_from(at.as_secs()).expect("small")] += 1;
+        let requests = request_times(answer_delay, &mut random);
+        latest = latest.max(*requests.last().expect("a request"));
+        for at in requests {
+            per_second[usize::try_from(at.as_secs()).expect("small")] += 1;
         }
     }
-    let calm = &in_second[3..20];
+    let steady = &per_second[3..20];
     assert!(
-        calm.iter().all(|count| *count <= ROUTERS * 7 / 4),
-        "at most 1.75 questions a second of each: {in_second:?}"
+        steady.iter().all(|count| *count <= ROUTERS * 7 / 4),
+        "at most 1.75 requests per second and router: {per_second:?}"
     );
     assert!(
         latest <= WITHOUT_FEED + Duration::from_secs(1),
-        "all are back within a second: {latest:?}"
+        "all routers ask again within a second: {latest:?}"
     );
 }
 
 #[test]
-fn a_crowd_does_not_ask_in_step() {
-    for wait in WAITS {
-        does_not_ask_in_step(wait);
+fn routers_do_not_send_requests_in_step() {
+    for answer_delay in ANSWER_DELAYS {
+        check_jitter(answer_delay);
     }
 }
 
-fn does_not_ask_in_step(wait: Duration) {
+fn check_jitter(answer_delay: Duration) {
     let mut random = numbers();
-    let mut in_slot = [0_u32; 100];
+    let mut per_slot = [0_u32; 100];
     for _ in 0..ROUTERS {
-        let asked = questions(wait, &mut random);
-        let in_a_second = asked.iter().filter(|at| at.as_secs() == 10);
-        for at in in_a_second {
-            in_slot[usize::try_from(at.subsec_millis() / 10).expect("small")] += 1;
+        let requests = request_times(answer_delay, &mut random);
+        let in_one_second = requests.iter().filter(|at| at.as_secs() == 10);
+        for at in in_one_second {
+            per_slot[usize::try_from(at.subsec_millis() / 10).expect("small")] += 1;
         }
     }
-    let most = in_slot.iter().max().expect("slots");
-    assert!(*most <= 60, "{most} of {ROUTERS} in 10 ms");
+    let peak = per_slot.iter().max().expect("slots");
+    assert!(*peak <= 60, "{peak} of {ROUTERS} in 10 ms");
 }
