--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -19,7 +19,7 @@
     pub zone: Option<Zone>,
 }
 
-/// Addresses of controllers that a router knows.
+/// Addresses of the controllers that a router can ask for the feed, and the order between them.
 #[derive(Debug, Clone)]
 pub struct Directory {
     router: String,
--- a/crates/gateway/src/forwarded_headers.rs
+++ b/crates/gateway/src/forwarded_headers.rs
@@ -25,19 +25,19 @@
 /// Selects the headers of a client's request that are forwarded to the instance.
 #[must_use]
 pub fn filter_request_headers(headers: &HeaderMap, interface: &dyn ClientInterface) -> HeaderMap {
-    let mut passed = headers.clone();
-    strip_hop_headers(&mut passed);
+    let mut forwarded = headers.clone();
+    strip_hop_headers(&mut forwarded);
     for name in &OWN_HEADERS {
-        passed.remove(name);
+        forwarded.remove(name);
     }
-    let names = passed
+    let names = forwarded
         .keys()
         .filter(|name| interface.is_instance_control_header(name));
-    let steering: Vec<HeaderName> = names.cloned().collect();
-    for name in steering {
-        passed.remove(name);
+    let control: Vec<HeaderName> = names.cloned().collect();
+    for name in control {
+        forwarded.remove(name);
     }
-    passed
+    forwarded
 }
 
 /// Removes hop-by-hop headers.
