--- a/crates/coordinator/src/metrics.rs
+++ b/crates/coordinator/src/metrics.rs
@@ -67,9 +67,9 @@
         let loads = metrics.store_loads.clone();
         registry.register("store_loads", "Loads from the weight store", loads);
         let registrations = metrics.registrations.clone();
-        registry.register("registrations", "Registrations accepted", registrations);
+        registry.register("registrations", "Registrations taken", registrations);
         let refused = metrics.registrations_refused.clone();
-        let help = "Registrations rejected because they could not be read in full";
+        let help = "Registrations that could not be read whole";
         registry.register("registrations_refused", help, refused);
         let configurations = metrics.configurations.clone();
         registry.register(
@@ -78,12 +78,12 @@
             configurations,
         );
         let verdicts = metrics.limit_verdicts.clone();
-        let help = "Decisions on requests for instances that report a rate limit, by outcome";
+        let help = "Decisions on requests for instances that name a limit, by outcome";
         registry.register("limit_verdicts", help, verdicts);
         let leaderships = metrics.leaderships.clone();
         registry.register("leaderships", "Elections that this member won", leaderships);
         let slept = metrics.slept_milliseconds.clone();
-        let help = "Time for which the machine was suspended, in milliseconds";
+        let help = "Time in which the machine was suspended";
         registry.register("slept_milliseconds", help, slept);
         let rollouts = metrics.rollouts.clone();
         registry.register(
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -110,13 +110,13 @@
     fn register(&mut self) {
         let registry = &mut self.registry;
         let requests = self.requests.clone();
-        registry.register("requests", "Client requests received completely", requests);
+        registry.register("requests", "Requests read whole", requests);
         let answers = self.answers.clone();
-        registry.register("answers", "Responses of instances by status", answers);
+        registry.register("answers", "Answers of instances by status", answers);
         let refusals = self.refusals.clone();
-        registry.register("refusals", "Refusals of the router by reason", refusals);
+        registry.register("refusals", "Own refusals by reason", refusals);
         let attempts = self.attempts.clone();
-        registry.register("attempts", "Attempts by outcome", attempts);
+        registry.register("attempts", "Requests sent by outcome", attempts);
         let denied = self.retries_denied.clone();
         registry.register(
             "retries_denied",
@@ -124,25 +124,25 @@
             denied,
         );
         let pushbacks = self.pushbacks.clone();
-        let help = "Responses in which instances push back, by kind";
+        let help = "Answers in which instances ask for rest or say that they leave";
         registry.register("pushbacks", help, pushbacks);
         let despite = self.sent_despite_pushback.clone();
-        let help = "Requests sent to instances in spite of a pushback";
+        let help = "Requests sent to instances that had asked for none";
         registry.register("sent_against_pushback", help, despite);
         let limited = self.limited.clone();
-        let help = "Decisions on requests for rate-limited instances by outcome";
+        let help = "Decisions on requests for instances that name a limit, by outcome";
         registry.register("limited", help, limited);
         let cancelled = self.cancelled.clone();
-        registry.register("cancelled", "Requests cancelled by clients", cancelled);
+        registry.register("cancelled", "Requests whose clients left", cancelled);
         let connections = self.connections.clone();
         registry.register("connections", "New connections to instances", connections);
         let lost = self.feeds_lost.clone();
-        registry.register("feeds_lost", "Feeds that were lost", lost);
+        registry.register("feeds_lost", "Feeds that ended", lost);
         let suspended = self.suspended_milliseconds.clone();
-        let help = "Time for which the machine was suspended";
+        let help = "Time in which the machine was suspended";
         registry.register("slept_milliseconds", help, suspended);
         let waits = self.waits.clone();
-        registry.register("wait_seconds", "Time from arrival to an attempt", waits);
+        registry.register("wait_seconds", "Arrival to sending", waits);
         let first = self.first_answers.clone();
         registry.register(
             "first_answer_seconds",
@@ -150,7 +150,7 @@
             first,
         );
         let errors = self.prediction_errors.clone();
-        let help = "Difference of predicted and actual time to the first part of the response";
+        let help = "Difference of predicted and real first answer";
         registry.register("prediction_error_seconds", help, errors);
         let configuration = self.configuration.clone();
         registry.register(
@@ -165,7 +165,7 @@
             age,
         );
         let quarantined = self.quarantined.clone();
-        let help = "Contents in quarantine, under which instances ended";
+        let help = "Contents in quarantine: instances ended under each";
         registry.register("quarantined", help, quarantined);
         let cached = self.cached_tokens.clone();
         registry.register(
@@ -183,7 +183,7 @@
         let help = "Requests of the largest tenants by outcome";
         registry.register("tenant_requests", help, requests);
         let units = self.tenant_units.clone();
-        let help = "Quota units used by the largest tenants";
+        let help = "Units of their limits that the largest tenants used";
         registry.register("tenant_units", help, units);
     }
 
