--- a/crates/controller/src/admin/changes.rs
+++ b/crates/controller/src/admin/changes.rs
@@ -6,7 +6,7 @@
 use crate::feed::reports::other_members;
 use crate::replica::ProposeError;
 use courseshunt_http::{Body, json_response, read_limited};
-use courseshunt_state::{ChangeRequest, Command, CommandError, CommandReply, Verdict};
+use courseshunt_state::{ChangeRequest, Command, CommandError, CommandReply, ValidationOutcome};
 use courseshunt_types::{ControllerId, Revision};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -91,9 +91,9 @@
     }
     let state = context.replica.state();
     let limits = state.fleet_limits();
-    let (revision, changes) = match state.configuration.judge(change, &limits) {
-        Ok(Verdict::Known(revision)) => (revision, Vec::new()),
-        Ok(Verdict::Changes(changes)) => {
+    let (revision, changes) = match state.configuration.validate(change, &limits) {
+        Ok(ValidationOutcome::AlreadyApplied(revision)) => (revision, Vec::new()),
+        Ok(ValidationOutcome::Changes(changes)) => {
             let changes = changes.into_iter().collect();
             (state.configuration.revision.next(), changes)
         }
--- a/crates/controller/src/feed/writer.rs
+++ b/crates/controller/src/feed/writer.rs
@@ -113,7 +113,7 @@
         let wanted = {
             let state = self.context.replica.state();
             let drains = &state.drains;
-            drains.wants_router(&self.router.router, self.router.incarnation)
+            drains.is_router_draining(&self.router.router, self.router.incarnation)
         };
         if !wanted || self.drained {
             return Ok(());
--- a/crates/controller/src/replica/driver.rs
+++ b/crates/controller/src/replica/driver.rs
@@ -297,7 +297,7 @@
         let members = self.core.membership().all();
         let bytes = match self.peers.addresses().all_speak_present(&members) {
             true => state.to_snapshot(),
-            false => state.to_production_snapshot(),
+            false => state.to_previous_release_snapshot(),
         };
         let bytes = Arc::new(bytes);
         drop(state);
--- a/crates/controller/src/scheduler/watch.rs
+++ b/crates/controller/src/scheduler/watch.rs
@@ -269,7 +269,7 @@
     let state = {
         let replicated = context.replica.state();
         let drains = &replicated.drains;
-        drains.state_of(&inventory.runner, inventory.incarnation, state)
+        drains.effective_state(&inventory.runner, inventory.incarnation, state)
     };
     let record = RunnerRecord {
         runner: inventory.runner.clone(),
--- a/crates/state/src/configuration/mod.rs
+++ b/crates/state/src/configuration/mod.rs
@@ -4,12 +4,12 @@
 //! removal, and each accepted batch gets the next revision.
 
 mod documents;
-mod judge;
+mod validation;
 
 pub use documents::{
     ChangeItem, ChangeRequest, DocumentKey, DocumentKind, ModelDocument, Removal, TenantDocument,
 };
-pub use judge::{FleetLimits, Verdict};
+pub use validation::{FleetLimits, ValidationOutcome};
 
 use crate::reply::ConfigurationConflict;
 use courseshunt_types::{
@@ -121,9 +121,9 @@
         limits: &FleetLimits,
         at: UnixMillis,
     ) -> Result<Revision, ConfigurationConflict> {
-        match self.judge(request, limits)? {
-            Verdict::Known(revision) => Ok(revision),
-            Verdict::Changes(changes) => {
+        match self.validate(request, limits)? {
+            ValidationOutcome::AlreadyApplied(revision) => Ok(revision),
+            ValidationOutcome::Changes(changes) => {
                 self.revision = self.revision.next();
                 self.store(request, &changes);
                 self.remember(request, changes, at);
--- a/crates/state/src/configuration/judge.rs
+++ b/crates/state/src/configuration/validation.rs
@@ -17,9 +17,9 @@
 
 /// What accepting a batch would do.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ValidationOutcome {
     /// Nothing: it is in force, or was, since this revision.
-    Known(Revision),
+    AlreadyApplied(Revision),
     /// It sets or removes these documents.
     Changes(BTreeSet<DocumentKey>),
 }
@@ -29,15 +29,15 @@
     ///
     /// # Errors
     /// The first conflict.
-    pub fn judge(
+    pub fn validate(
         &self,
         request: &ChangeRequest,
         limits: &FleetLimits,
-    ) -> Result<Verdict, ConfigurationConflict> {
+    ) -> Result<ValidationOutcome, ConfigurationConflict> {
         if let Some(first) = self.first_use(&request.change_id) {
             let revision = first.revision;
             return match first.digest == request.digest() {
-                true => Ok(Verdict::Known(revision)),
+                true => Ok(ValidationOutcome::AlreadyApplied(revision)),
                 false => Err(ConfigurationConflict::ChangeReused { revision }),
             };
         }
@@ -46,11 +46,11 @@
         check_repeats(&items)?;
         let changes = self.changes(&items)?;
         if changes.is_empty() {
-            return Ok(Verdict::Known(self.revision_of(&items)));
+            return Ok(ValidationOutcome::AlreadyApplied(self.revision_of(&items)));
         }
         self.check_memory(request, &changes, limits)?;
         self.check_references(request, &changes)?;
-        Ok(Verdict::Changes(changes))
+        Ok(ValidationOutcome::Changes(changes))
     }
 
     /// Documents that are newer than those in force.
--- a/crates/state/src/drains.rs
+++ b/crates/state/src/drains.rs
@@ -52,7 +52,7 @@
 
     /// Whether a router's process is to stop.
     #[must_use]
-    pub fn wants_router(&self, router: &RouterId, incarnation: Incarnation) -> bool {
+    pub fn is_router_draining(&self, router: &RouterId, incarnation: Incarnation) -> bool {
         let drain = self.routers.get(router);
         drain.is_some_and(|drain| drain.incarnation.is_none_or(|one| one == incarnation))
     }
@@ -64,7 +64,7 @@
 
     /// State of a runner's machine with its drain.
     #[must_use]
-    pub fn state_of(
+    pub fn effective_state(
         &self,
         runner: &RunnerId,
         incarnation: Incarnation,
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -26,7 +26,7 @@
 pub use command::{ClaimRequest, Command, CommandEnvelope};
 pub use configuration::{
     ChangeRequest, Configuration, DocumentKey, DocumentKind, FleetLimits, HistoryEntry,
-    ModelDocument, Removal, StoredDeployment, StoredTenant, TenantDocument, Verdict,
+    ModelDocument, Removal, StoredDeployment, StoredTenant, TenantDocument, ValidationOutcome,
 };
 pub use drains::Drains;
 pub use jobs::{JobRecord, JobState, Jobs};
--- a/crates/state/src/session.rs
+++ b/crates/state/src/session.rs
@@ -22,11 +22,11 @@
 
 /// What is known about a command's number.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Seen {
+pub enum SequenceStatus {
     /// It is new.
     New,
     /// It was applied; this was the answer.
-    Answered(CommandReply),
+    Applied(CommandReply),
     /// It was applied; the answer is forgotten.
     Forgotten,
 }
@@ -43,21 +43,21 @@
 impl Sessions {
     /// Looks a command's number up.
     #[must_use]
-    pub fn look_up(&self, client: &ClientId, sequence: ClientSequence) -> Seen {
+    pub fn look_up(&self, client: &ClientId, sequence: ClientSequence) -> SequenceStatus {
         let Some(session) = self.sessions.get(client) else {
-            return Seen::New;
+            return SequenceStatus::New;
         };
         if let Some(reply) = session.replies.get(&sequence) {
-            return Seen::Answered(reply.clone());
+            return SequenceStatus::Applied(reply.clone());
         }
         if sequence < session.acknowledged {
-            return Seen::Forgotten;
+            return SequenceStatus::Forgotten;
         }
-        Seen::New
+        SequenceStatus::New
     }
 
     /// Remembers an answer and forgets the acknowledged ones.
-    pub fn remember(
+    pub fn record_reply(
         &mut self,
         client: &ClientId,
         sequence: ClientSequence,
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -9,7 +9,7 @@
 use crate::placement::Placement;
 use crate::reply::{CommandError, CommandReply};
 use crate::services::Services;
-use crate::session::{Seen, Sessions};
+use crate::session::{SequenceStatus, Sessions};
 use courseshunt_types::runner_api::MachineState;
 use courseshunt_types::{
     Attempt, Digest, Fence, IdempotencyKey, LogIndex, RequestId, RunnerId, TenantName, Term,
@@ -56,9 +56,11 @@
         let named = !envelope.client.as_str().is_empty();
         if named {
             match self.sessions.look_up(&envelope.client, envelope.sequence) {
-                Seen::New => {}
-                Seen::Answered(reply) => return reply,
-                Seen::Forgotten => return CommandReply::Refused(CommandError::AnswerForgotten),
+                SequenceStatus::New => {}
+                SequenceStatus::Applied(reply) => return reply,
+                SequenceStatus::Forgotten => {
+                    return CommandReply::Refused(CommandError::AnswerForgotten);
+                }
             }
         }
         let fence = Fence {
@@ -71,7 +73,7 @@
         let outcome = self.apply_command(&envelope.command, fence);
         let reply = outcome.unwrap_or_else(CommandReply::Refused);
         if named {
-            self.sessions.remember(
+            self.sessions.record_reply(
                 &envelope.client,
                 envelope.sequence,
                 envelope.acknowledged,
@@ -103,7 +105,9 @@
             Command::RecordRunner(record) => {
                 let mut record = record.clone();
                 let (runner, incarnation) = (&record.runner, record.incarnation);
-                record.state = self.drains.state_of(runner, incarnation, record.state);
+                record.state = self
+                    .drains
+                    .effective_state(runner, incarnation, record.state);
                 self.placement.record_runner(&record);
             }
             Command::DrainRouter {
--- a/crates/state/src/stored/mod.rs
+++ b/crates/state/src/stored/mod.rs
@@ -6,11 +6,11 @@
 //! change of what the state holds takes the next number, and keeps the type of the form before
 //! to read that one. Commands carry no number: new ones go to the end of their list.
 
-mod production;
+mod previous_release;
 
 use crate::command::CommandEnvelope;
 use crate::state::ReplicatedState;
-use production::ProductionState;
+use previous_release::PreviousReleaseState;
 use rkyv::rancor;
 use rkyv::util::AlignedVec;
 
@@ -54,7 +54,7 @@
     #[must_use]
     pub fn to_snapshot(&self) -> Vec<u8> {
         if self.services.quarantined.is_empty() {
-            return self.to_production_snapshot();
+            return self.to_previous_release_snapshot();
         }
         let Ok(content) = rkyv::to_bytes::<rancor::Error>(self) else {
             return Vec::new();
@@ -66,8 +66,8 @@
     /// The state as production's build keeps it, for a group in which one may have to read it.
     /// What that build knows nothing of is left out: what is in quarantine.
     #[must_use]
-    pub fn to_production_snapshot(&self) -> Vec<u8> {
-        let state = ProductionState::from(self.clone());
+    pub fn to_previous_release_snapshot(&self) -> Vec<u8> {
+        let state = PreviousReleaseState::from(self.clone());
         rkyv::to_bytes::<rancor::Error>(&state)
             .map(|bytes| bytes.to_vec())
             .unwrap_or_default()
@@ -107,12 +107,12 @@
     if is_between {
         return between;
     }
-    let Ok(production) = rkyv::from_bytes::<ProductionState, rancor::Error>(&aligned(content))
+    let Ok(production) = rkyv::from_bytes::<PreviousReleaseState, rancor::Error>(&aligned(content))
     else {
         return between;
     };
     let state = ReplicatedState::from(production);
-    match state.to_production_snapshot() == content {
+    match state.to_previous_release_snapshot() == content {
         true => Ok(state),
         false => between.and_then(|_| {
             let message = "it is none of the forms without a mark".to_owned();
--- a/crates/state/src/stored/production.rs
+++ b/crates/state/src/stored/previous_release.rs
@@ -17,7 +17,7 @@
 
 /// See [`ReplicatedState`].
 #[derive(rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub(super) struct ProductionState {
+pub(super) struct PreviousReleaseState {
     applied: LogIndex,
     time: UnixMillis,
     configuration: Configuration,
@@ -28,12 +28,12 @@
     drains: Drains,
     sessions: Sessions,
     members: MemberAddresses,
-    services: ProductionServices,
+    services: PreviousReleaseServices,
 }
 
 /// See [`Services`]; nothing is in quarantine.
 #[derive(rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-struct ProductionServices {
+struct PreviousReleaseServices {
     number: u64,
     document: Vec<u8>,
     leaving: VecDeque<LeavingInstance>,
@@ -42,8 +42,8 @@
     orders_holder: Option<ControllerId>,
 }
 
-impl From<ProductionState> for ReplicatedState {
-    fn from(state: ProductionState) -> Self {
+impl From<PreviousReleaseState> for ReplicatedState {
+    fn from(state: PreviousReleaseState) -> Self {
         let services = state.services;
         Self {
             applied: state.applied,
@@ -69,7 +69,7 @@
     }
 }
 
-impl From<ReplicatedState> for ProductionState {
+impl From<ReplicatedState> for PreviousReleaseState {
     fn from(state: ReplicatedState) -> Self {
         let services = state.services;
         Self {
@@ -83,7 +83,7 @@
             drains: state.drains,
             sessions: state.sessions,
             members: state.members,
-            services: ProductionServices {
+            services: PreviousReleaseServices {
                 number: services.number,
                 document: services.document,
                 leaving: services.leaving,
--- a/crates/state/tests/stored_forms.rs
+++ b/crates/state/tests/stored_forms.rs
@@ -109,10 +109,10 @@
 fn what_is_written_for_productions_build_is_what_it_writes_itself() {
     for written in [PRODUCTION, PRODUCTION_EMPTY] {
         let state = ReplicatedState::from_snapshot(written).expect("a snapshot");
-        assert_eq!(state.to_production_snapshot(), written);
+        assert_eq!(state.to_previous_release_snapshot(), written);
     }
     let mut state = ReplicatedState::from_snapshot(UNMARKED).expect("a snapshot");
-    let bytes = state.to_production_snapshot();
+    let bytes = state.to_previous_release_snapshot();
     state.services.quarantined.clear();
     assert_eq!(
         ReplicatedState::from_snapshot(&bytes).expect("a snapshot"),
--- a/crates/wire/tests/type_forms.rs
+++ b/crates/wire/tests/type_forms.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 /// The version of the protocol, and the types' digest.
-const KNOWN: (u8, &str) = (6, "c432cf9e9a7359b1");
+const KNOWN: (u8, &str) = (6, "60be9998344d19b7");
 
 const ADVICE: &str = "An archived type has changed. If it is on the wire: take the next \
     PROTOCOL_VERSION, keep the types of the version before in wire::earlier, and translate. If it is \
