--- a/crates/consensus/src/core/change.rs
+++ b/crates/consensus/src/core/change.rs
@@ -1,4 +1,4 @@
-//! Membership changes and planned transfer of the leadership.
+//! Membership changes and planned leadership transfer.
 
 use super::Core;
 use crate::Mutant;
@@ -10,22 +10,22 @@
 use courseshunt_types::{ControllerId, LogIndex, Timestamp};
 use std::collections::BTreeSet;
 
-/// A promotion that waits for its learner.
+/// A promotion that waits until its learner has caught up.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingChange {
     pub(super) proposal: ProposalId,
     change: MembershipChange,
     learner: ControllerId,
-    /// Commit index of the moment the promotion was proposed.
+    /// Commit index when the promotion was proposed; the learner must reach it.
     target: LogIndex,
     deadline: Timestamp,
 }
 
-/// A hand-over of the leadership under way.
+/// A leadership transfer in progress.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Transfer {
     to: ControllerId,
-    ordered: bool,
+    timeout_now_sent: bool,
     deadline: Timestamp,
 }
 
@@ -36,14 +36,14 @@
         change: MembershipChange,
         now: Timestamp,
     ) {
-        let refused = match self.refusal() {
+        let rejection = match self.rejection_reason() {
             Some(reason) => Some(reason),
             None => {
                 let checked = self.check_change(change, now);
                 checked.err().map(RejectionReason::Membership)
             }
         };
-        if let Some(reason) = refused {
+        if let Some(reason) = rejection {
             self.outputs
                 .push(Output::ProposalRejected { proposal, reason });
             return;
@@ -65,13 +65,13 @@
         self.check_pending_change(now);
     }
 
-    /// Whether the change may be made now.
+    /// The membership after the change, if the change is allowed now.
     fn check_change(
         &self,
         change: MembershipChange,
         now: Timestamp,
     ) -> Result<Membership, MembershipError> {
-        if !self.knows_commits() {
+        if !self.has_committed_in_term() {
             return Err(MembershipError::LeaderNotReady);
         }
         let pending = self.leadership.as_ref();
@@ -87,14 +87,14 @@
         Ok(after)
     }
 
-    /// Members heard within the election timeout, this one among them.
+    /// Members whose last message is less than an election timeout old, and this member.
     pub(super) fn live_members(&self, now: Timestamp) -> BTreeSet<ControllerId> {
         let timeout = self.settings.election_timeout;
         let mut live = BTreeSet::from([self.settings.id]);
         if let Some(leadership) = &self.leadership {
-            let heard = leadership.progress.iter();
-            let heard = heard.filter(|(_, one)| one.is_live(now, timeout));
-            live.extend(heard.map(|(id, _)| *id));
+            let members = leadership.progress.iter();
+            let members = members.filter(|(_, one)| one.is_live(now, timeout));
+            live.extend(members.map(|(id, _)| *id));
         }
         live
     }
@@ -103,12 +103,12 @@
         let Ok(after) = self.memberships.latest().after(change) else {
             return;
         };
-        let index = self.append_own(Payload::Membership(after));
-        self.announce(proposal, index);
+        let index = self.append_new_entry(Payload::Membership(after));
+        self.report_proposed(proposal, index);
         self.send_entries();
     }
 
-    /// Goes on with a promotion once its learner has caught up.
+    /// Continues a promotion once its learner has caught up.
     pub(super) fn check_pending_change(&mut self, now: Timestamp) {
         let leadership = self.leadership.as_mut();
         let Some(pending) = leadership.and_then(|leadership| leadership.pending_change.take())
@@ -117,14 +117,14 @@
         };
         let matched = self.progress_mut(pending.learner).map(|one| one.matched);
         let caught_up = matched.is_some_and(|matched| matched >= pending.target)
-            || self.settings.lacks(Mutant::PromoteBeforeCatchUp);
-        let verdict = match caught_up {
+            || self.settings.omits_rule(Mutant::PromoteBeforeCatchUp);
+        let result = match caught_up {
             true => self.check_change(pending.change, now).map(|_| ()),
             false => Err(MembershipError::NotCaughtUp {
                 member: pending.learner,
             }),
         };
-        match verdict {
+        match result {
             Ok(()) => self.append_change(pending.proposal, pending.change),
             Err(MembershipError::NotCaughtUp { .. }) if now < pending.deadline => {
                 if let Some(leadership) = &mut self.leadership {
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Finishes a joint change, and leaves when this member was removed.
-    pub(super) fn change_committed(&mut self, now: Timestamp) {
+    /// Completes a joint change, and steps down if this member was removed.
+    pub(super) fn on_commit_advanced(&mut self, now: Timestamp) {
         let committed = self.memberships.latest_index() <= self.commit;
         if !committed || self.leadership.is_none() {
             return;
@@ -147,12 +147,12 @@
         let membership = self.memberships.latest();
         if !membership.outgoing.is_empty() {
             let finished = membership.finished();
-            self.append_own(Payload::Membership(finished));
+            self.append_new_entry(Payload::Membership(finished));
             self.send_entries();
             return;
         }
         if !membership.is_voter(self.settings.id) {
-            self.announce_commit();
+            self.send_commit_index();
             self.become_follower(self.term, None, now);
         }
     }
@@ -174,13 +174,13 @@
         };
         leadership.transfer = Some(Transfer {
             to: target,
-            ordered: false,
+            timeout_now_sent: false,
             deadline: now + timeout,
         });
         self.check_transfer(now);
     }
 
-    /// Orders the hand-over once the next leader has the whole log.
+    /// Starts the election of the next leader once it has the whole log.
     pub(super) fn check_transfer(&mut self, now: Timestamp) {
         let last = self.log.last_index();
         let term = self.term;
@@ -195,11 +195,11 @@
             return;
         }
         let matched = leadership.progress.get(&transfer.to).map(|one| one.matched);
-        if transfer.ordered || matched != Some(last) {
+        if transfer.timeout_now_sent || matched != Some(last) {
             return;
         }
-        transfer.ordered = true;
-        leadership.lease_given_up = true;
+        transfer.timeout_now_sent = true;
+        leadership.lease_relinquished = true;
         let to = transfer.to;
         self.send(to, ConsensusMessage::TimeoutNow { term });
     }
--- a/crates/consensus/src/core/commit.rs
+++ b/crates/consensus/src/core/commit.rs
@@ -10,12 +10,12 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitingRead {
     pub(super) read: ReadId,
-    /// Round that a quorum must answer.
+    /// Round that a quorum must acknowledge first.
     pub(super) round: u64,
 }
 
 impl Core {
-    /// Commits what a quorum has durable.
+    /// Commits the entries that are durable at a quorum.
     pub(super) fn advance_commit(&mut self, now: Timestamp) {
         let Some(leadership) = &self.leadership else {
             return;
@@ -28,21 +28,21 @@
         };
         let membership = self.memberships.latest();
         let mut index = LogIndex(membership.quorum_value(matched));
-        if self.settings.lacks(Mutant::CommitWithoutQuorum) {
+        if self.settings.omits_rule(Mutant::CommitWithoutQuorum) {
             index = durable;
         }
         let own_term = self.log.term_at(index) == Some(self.term)
-            || self.settings.lacks(Mutant::CommitEarlierTerm);
+            || self.settings.omits_rule(Mutant::CommitEarlierTerm);
         if index <= self.commit || !own_term {
             return;
         }
         self.commit_to(index);
         self.release_reads(now);
-        self.change_committed(now);
-        self.announce_commit();
+        self.on_commit_advanced(now);
+        self.send_commit_index();
     }
 
-    /// Hands out what is committed and durable here.
+    /// Returns for application the entries that are committed and durable here.
     pub(super) fn apply_committed(&mut self) {
         let through = self.commit.min(self.durability.through());
         if through <= self.applied {
@@ -53,7 +53,7 @@
         self.outputs.push(Output::Apply { entries });
     }
 
-    /// Notes which heartbeat rounds a quorum has answered.
+    /// Updates which heartbeat rounds a quorum has acknowledged.
     pub(super) fn confirm_rounds(&mut self, now: Timestamp) {
         let own = self.settings.id;
         let membership = self.memberships.latest();
@@ -61,11 +61,11 @@
             return;
         };
         let (progress, own_round) = (&leadership.progress, leadership.round);
-        let answered = |id: ControllerId| match id == own {
+        let acknowledged = |id: ControllerId| match id == own {
             true => own_round,
             false => progress.get(&id).map_or(0, |one| one.round),
         };
-        let confirmed = membership.quorum_value(answered);
+        let confirmed = membership.quorum_value(acknowledged);
         while let Some(open) = leadership.open_rounds.front() {
             if open.round > confirmed {
                 break;
@@ -77,25 +77,26 @@
         self.release_reads(now);
     }
 
-    /// Whether surely no other member leads now.
+    /// Whether this leader's lease is valid, so that no other member can be leader.
     pub(super) fn holds_lease(&self, now: Timestamp) -> bool {
-        self.settings.lease_reads && self.is_followed(now)
+        self.settings.lease_reads && self.has_quorum_support(now)
     }
 
-    /// Whether a quorum answered this leader within a lease, and no hand-over
-    /// was ordered.
-    pub(super) fn is_followed(&self, now: Timestamp) -> bool {
+    /// Whether a quorum acknowledged a round that this leader started less than
+    /// one lease ago, and no leadership transfer was started.
+    pub(super) fn has_quorum_support(&self, now: Timestamp) -> bool {
         let Some(leadership) = &self.leadership else {
             return false;
         };
         let lease = self.settings.lease();
         let confirmed_at = leadership.confirmed_at;
         let fresh = confirmed_at.is_some_and(|at| now.since(at) < lease);
-        fresh && !leadership.lease_given_up
+        fresh && !leadership.lease_relinquished
     }
 
-    /// Whether this leader knows everything that was committed before its term.
-    pub(super) fn knows_commits(&self) -> bool {
+    /// Whether this leader has committed an entry of its term. Its commit index
+    /// then covers everything that was committed before its term.
+    pub(super) fn has_committed_in_term(&self) -> bool {
         let leadership = self.leadership.as_ref();
         leadership.is_some_and(|leadership| self.commit >= leadership.first_index)
     }
@@ -108,9 +109,9 @@
             self.outputs.push(Output::ReadRejected { read, reason });
             return;
         }
-        let unchecked = self.settings.lacks(Mutant::ReadWithoutLease);
-        let ready = self.knows_commits() && self.holds_lease(now);
-        if ready || unchecked {
+        let skip_check = self.settings.omits_rule(Mutant::ReadWithoutLease);
+        let ready = self.has_committed_in_term() && self.holds_lease(now);
+        if ready || skip_check {
             let index = self.commit;
             self.outputs.push(Output::ReadReady { read, index });
             return;
@@ -122,9 +123,9 @@
         self.start_round(now);
     }
 
-    /// Answers the reads whose round a quorum has answered.
+    /// Releases the reads whose round a quorum has acknowledged.
     fn release_reads(&mut self, now: Timestamp) {
-        if !self.knows_commits() {
+        if !self.has_committed_in_term() {
             return;
         }
         let index = self.commit;
--- a/crates/consensus/src/core/contact.rs
+++ b/crates/consensus/src/core/contact.rs
@@ -1,60 +1,64 @@
-//! Whether a member that has no leader hears a quorum: if it does, there will be a leader
-//! here soon; if it doesn't, there may be one elsewhere.
+//! Detects the loss of the quorum at a voter that has no leader. While it receives messages
+//! from a quorum, a leader will soon be elected there; if it does not, a leader may be elected
+//! without it.
 //!
-//! Rests on this: within two election timeouts after the last word of a leader, each voter
-//! that lives asks the others for their votes, or answers one that does.
+//! The detection relies on this: within two election timeouts after the last message of a leader, each live voter
+//! requests the votes of the others or replies to such a request.
 
 use super::{Core, Role};
 use courseshunt_types::{ControllerId, Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member that hears no quorum for so many halves of an election timeout after its last
-/// leader's word has lost the quorum: a half more than the others may take to be heard.
-const HALF_TIMEOUTS: u64 = 5;
+/// Halves of an election timeout after which a voter without a leader, and without messages
+/// from a quorum, has lost the quorum: one half more than the two timeouts within which each
+/// live voter sends a message.
+const QUORUM_LOSS_HALF_TIMEOUTS: u64 = 5;
 
-/// Whom a member has heard, and when it last had a leader or led.
+/// When a member last had contact with a leader or was leader, and when each voter last
+/// sent it a message.
 #[derive(Debug)]
 pub(super) struct Contact {
-    led_at: Timestamp,
-    /// By voter, since the last leader's word.
-    heard: BTreeMap<ControllerId, Timestamp>,
+    leader_contact_at: Timestamp,
+    /// Time of the last message by voter, since the last contact with a leader.
+    last_message_at: BTreeMap<ControllerId, Timestamp>,
 }
 
 impl Contact {
     pub(super) fn new(now: Timestamp) -> Self {
         Self {
-            led_at: now,
-            heard: BTreeMap::new(),
+            leader_contact_at: now,
+            last_message_at: BTreeMap::new(),
         }
     }
 
-    /// Notes that a leader was heard, or that this member led until now.
-    pub(super) fn led(&mut self, now: Timestamp) {
-        self.led_at = now;
-        self.heard.clear();
+    /// Records a message from a leader, or that this member was leader until now.
+    pub(super) fn record_leader(&mut self, now: Timestamp) {
+        self.leader_contact_at = now;
+        self.last_message_at.clear();
     }
 
-    /// Notes a message of a voter.
-    pub(super) fn heard(&mut self, from: ControllerId, now: Timestamp) {
-        self.heard.insert(from, now);
+    /// Records a message from a voter.
+    pub(super) fn record_message(&mut self, from: ControllerId, now: Timestamp) {
+        self.last_message_at.insert(from, now);
     }
 }
 
 impl Core {
-    /// Whether this voter has had no leader for so long, and heard so few others meanwhile,
-    /// that none is elected with it: a quorum may have a leader without it.
+    /// Whether this voter has lost the quorum: for two and a half election timeouts it has had
+    /// no leader and received messages from less than a quorum. A quorum may then have a leader
+    /// without it.
     #[must_use]
     pub fn has_lost_quorum(&self, now: Timestamp) -> bool {
         let membership = self.memberships.latest();
-        let judges = self.role != Role::Leader && membership.is_voter(self.settings.id);
-        let window = Millis(self.settings.election_timeout.0 * HALF_TIMEOUTS / 2);
-        if !judges || now.since(self.contact.led_at) < window {
+        let has_vote = self.role != Role::Leader && membership.is_voter(self.settings.id);
+        let window = Millis(self.settings.election_timeout.0 * QUORUM_LOSS_HALF_TIMEOUTS / 2);
+        if !has_vote || now.since(self.contact.leader_contact_at) < window {
             return false;
         }
-        let heard = self.contact.heard.iter();
-        let lately = heard.filter(|(_, at)| now.since(**at) < window);
-        let mut voices: BTreeSet<ControllerId> = lately.map(|(id, _)| *id).collect();
-        voices.insert(self.settings.id);
-        !membership.is_quorum(&voices)
+        let messages = self.contact.last_message_at.iter();
+        let recent = messages.filter(|(_, at)| now.since(**at) < window);
+        let mut reachable: BTreeSet<ControllerId> = recent.map(|(id, _)| *id).collect();
+        reachable.insert(self.settings.id);
+        !membership.is_quorum(&reachable)
     }
 }
--- a/crates/consensus/src/core/durability.rs
+++ b/crates/consensus/src/core/durability.rs
@@ -1,4 +1,4 @@
-//! What is durable, and what waits for it.
+//! Tracks what is durable, and defers the actions that depend on it.
 
 use crate::entry::{Entry, HardState};
 use crate::input::PersistNumber;
@@ -7,7 +7,7 @@
 use courseshunt_types::{ControllerId, LogIndex, Term};
 use std::collections::VecDeque;
 
-/// See the module.
+/// Persisted and pending state of one member, with the actions deferred until it is durable.
 #[derive(Debug)]
 pub(super) struct Durability {
     /// Last entry that is durable here.
@@ -16,7 +16,7 @@
     hard_state_dirty: bool,
     last_number: PersistNumber,
     durable_number: PersistNumber,
-    /// Persist that holds the latest hard state.
+    /// Number of the persist that contains the latest hard state.
     hard_state_number: PersistNumber,
     pending: VecDeque<PendingPersist>,
     deferred: VecDeque<Deferred>,
@@ -34,12 +34,12 @@
     action: DeferredAction,
 }
 
-/// Something that waits until the hard state is durable.
+/// An action that is deferred until the hard state is durable.
 #[derive(Debug)]
 pub(super) enum DeferredAction {
     /// Send a message.
     Send(Output),
-    /// Count the own vote and ask for the others'.
+    /// Count the member's own vote and request those of the others.
     StandForElection(Term),
 }
 
@@ -69,8 +69,8 @@
         self.entries.push(entry);
     }
 
-    /// Entries from `index` on are replaced: earlier writes of them no longer
-    /// count as durable, even when they return later.
+    /// Records that the entries from `index` on are replaced: writes of the
+    /// replaced entries no longer count as durable, even if they complete later.
     pub(super) fn truncate_from(&mut self, index: LogIndex) {
         let last = LogIndex(index.0 - 1);
         self.through = self.through.min(last);
@@ -79,9 +79,10 @@
         }
     }
 
-    /// A restored snapshot made everything up to `index` durable.
-    pub(super) fn restored(&mut self, index: LogIndex, log_goes_on: bool) {
-        if !log_goes_on {
+    /// Records that a restored snapshot made everything up to `index` durable.
+    /// `log_continues` is whether the log continues after the snapshot.
+    pub(super) fn restored(&mut self, index: LogIndex, log_continues: bool) {
+        if !log_continues {
             self.pending
                 .iter_mut()
                 .for_each(|one| one.last_index = index);
@@ -90,7 +91,7 @@
         self.through = self.through.max(index);
     }
 
-    /// The persist of this step, if there is anything new.
+    /// The persist of this step, if there is anything to write.
     pub(super) fn take_persist(&mut self, hard_state: HardState) -> Option<Output> {
         if self.entries.is_empty() && !self.hard_state_dirty {
             return None;
@@ -119,8 +120,9 @@
         PersistNumber(self.last_number.0 + 1)
     }
 
-    /// The number that makes the present hard state durable; `None` when it is.
-    fn waits_for(&self) -> Option<PersistNumber> {
+    /// Number of the persist that makes the current hard state durable; `None`
+    /// if it is already durable.
+    fn required_persist(&self) -> Option<PersistNumber> {
         if self.hard_state_dirty {
             return Some(self.next_number());
         }
@@ -128,14 +130,15 @@
         (number > self.durable_number).then_some(number)
     }
 
-    /// Sends now, when the hard state is durable, or later.
+    /// Returns the message for sending now if the hard state is durable, or
+    /// defers it until it is.
     pub(super) fn defer_send(
         &mut self,
         to: ControllerId,
         message: ConsensusMessage,
     ) -> Option<Output> {
         let send = Output::Send { to, message };
-        let Some(number) = self.waits_for() else {
+        let Some(number) = self.required_persist() else {
             return Some(send);
         };
         let action = DeferredAction::Send(send);
@@ -143,14 +146,14 @@
         None
     }
 
-    /// Stands for election once the own vote is durable.
+    /// Defers the vote requests until the member's own vote is durable.
     pub(super) fn defer_election(&mut self, term: Term) {
-        let number = self.waits_for().unwrap_or(self.durable_number);
+        let number = self.required_persist().unwrap_or(self.durable_number);
         let action = DeferredAction::StandForElection(term);
         self.deferred.push_back(Deferred { number, action });
     }
 
-    /// Notes a finished persist; returns what need not wait any longer.
+    /// Records a completed persist. Returns the actions that it releases.
     pub(super) fn persisted(&mut self, number: PersistNumber) -> Vec<DeferredAction> {
         self.durable_number = self.durable_number.max(number);
         while let Some(pending) = self.pending.front() {
--- a/crates/consensus/src/core/election.rs
+++ b/crates/consensus/src/core/election.rs
@@ -1,8 +1,8 @@
 //! Pre-vote, votes and election timeouts.
 //!
-//! A member that heard a leader within the election timeout gives no vote: the
-//! leader's lease rests on that promise. Only a planned transfer, for which the
-//! leader has given its lease up, is exempt.
+//! Invariant: a member that received a message from a leader within the election
+//! timeout grants no vote, since the leader's lease relies on it. Only a planned
+//! transfer, for which the leader has relinquished its lease, is exempt.
 
 use super::durability::DeferredAction;
 use super::{Core, Role};
@@ -12,80 +12,89 @@
 use courseshunt_types::{ControllerId, LogIndex, Millis, Term, Timestamp};
 use rand_pcg::rand_core::Rng;
 
-/// A member that has heard no leader since its start, and promised none, tries
-/// out an election after this part of the election timeout, and again and again.
-const START_DIVISOR: u64 = 8;
-/// It gives an election that it voted in this part of the election timeout.
-const VOTE_DIVISOR: u64 = 4;
+/// Divisor of the election timeout for a member that runs without leases and has
+/// received no message from a leader since its start: it starts pre-votes, and
+/// repeats them, with this shorter timeout.
+const STARTUP_TIMEOUT_DIVISOR: u64 = 8;
+/// The same divisor after the member voted, to let that election finish.
+const AFTER_VOTE_TIMEOUT_DIVISOR: u64 = 4;
 
 impl Core {
-    /// Draws when to stand for election unless a leader is heard before.
+    /// Draws the time of the next election unless a leader sends a message before.
     pub(super) fn draw_election_deadline(&mut self, now: Timestamp) {
-        self.draw_deadline(START_DIVISOR, now);
+        self.draw_deadline(STARTUP_TIMEOUT_DIVISOR, now);
     }
 
-    /// Draws the first deadline of a member that starts. One that may hurry
-    /// tries almost at once, since it may complete a quorum.
+    /// Draws the first deadline of a member that starts. If it may use short
+    /// timeouts, the deadline is almost immediate, since the member may complete
+    /// a quorum.
     pub(super) fn draw_first_deadline(&mut self, now: Timestamp) {
-        if !self.may_hurry() {
+        if !self.may_use_short_timeout() {
             self.draw_election_deadline(now);
             return;
         }
-        let spread = self.settings.election_timeout.0 / START_DIVISOR;
+        let spread = self.settings.election_timeout.0 / STARTUP_TIMEOUT_DIVISOR;
         self.set_deadline(Millis(0), spread, now);
     }
 
-    /// Between one and two election timeouts; between one and three of their
-    /// `start_divisor`th parts for a member that may hurry.
-    fn draw_deadline(&mut self, start_divisor: u64, now: Timestamp) {
+    /// Draws a deadline between one and two election timeouts, or, for a member
+    /// that may use short timeouts, between one and three times the election
+    /// timeout divided by `divisor`.
+    fn draw_deadline(&mut self, divisor: u64, now: Timestamp) {
         let timeout = self.settings.election_timeout.0;
-        let (least, spread) = match self.may_hurry() {
-            true => (timeout / start_divisor, timeout / start_divisor * 2),
+        let (least, spread) = match self.may_use_short_timeout() {
+            true => (timeout / divisor, timeout / divisor * 2),
             false => (timeout, timeout),
         };
         self.set_deadline(Millis(least), spread, now);
     }
 
-    /// A deadline after `least` and a random part of `spread` milliseconds.
+    /// Sets the deadline to `least` after `now`, plus random jitter of less than
+    /// `spread` milliseconds.
     fn set_deadline(&mut self, least: Millis, spread: u64, now: Timestamp) {
         let jitter = self.random.next_u64() % spread.max(1);
         self.election_deadline = now + Millis(least.0 + jitter);
     }
 
-    /// Whether no leader can be there that this member has promised anything.
-    fn may_hurry(&self) -> bool {
-        !self.settings.lease_reads && self.heard_leader_at.is_none()
+    /// Whether short election timeouts are safe: no leader's lease can rely on
+    /// this member.
+    fn may_use_short_timeout(&self) -> bool {
+        !self.settings.lease_reads && self.leader_contact_at.is_none()
     }
 
-    /// Stands for election when its time has come. A learner does so only if a candidate
-    /// needs its vote, by a promotion that the learner does not know yet, and has an older log:
-    /// that candidate can't be elected, and others may not be either while the learner, whose
-    /// log is the newest, stays out. It is elected by the voters that it knows, without a vote
-    /// of its own; any quorum of theirs meets any that counts the learner. It leads until its
-    /// log is committed, and steps down.
+    /// Starts a pre-vote when the election deadline has passed.
+    ///
+    /// A learner does so only after it refused its vote to a candidate with an older log that
+    /// counts the learner as a voter, because of a promotion that is not in the learner's log.
+    /// That candidate can't be elected, and possibly no other voter either, as long as the
+    /// learner, whose log is the most up to date, does not take part. The learner is elected by
+    /// the voters of its own log, without a vote of its own; each quorum of these intersects
+    /// each quorum that counts the learner. It is leader until its log is committed, and then
+    /// steps down.
     pub(super) fn tick_election(&mut self, now: Timestamp) {
         let membership = self.memberships.latest();
-        if !membership.is_voter(self.settings.id) && !self.refused_as_voter {
-            self.forget_silent_leader(now);
+        if !membership.is_voter(self.settings.id) && !self.refused_vote_as_learner {
+            self.clear_silent_leader(now);
             return;
         }
-        let alone = membership.voters.len() == 1 && membership.outgoing.is_empty();
-        let idle = self.role == Role::Follower;
-        if now >= self.election_deadline || (alone && idle) {
-            self.try_out_election(now);
+        let is_single_voter = membership.voters.len() == 1 && membership.outgoing.is_empty();
+        let is_follower = self.role == Role::Follower;
+        if now >= self.election_deadline || (is_single_voter && is_follower) {
+            self.start_pre_vote(now);
         }
     }
 
-    /// A learner never stands for election: without this, one that was removed while it was
-    /// cut off would name its last leader for ever, and never ask to be taken in again.
-    fn forget_silent_leader(&mut self, now: Timestamp) {
+    /// Clears the leader at a learner when the election deadline has passed. A learner does not
+    /// start an election, so one that was removed while it was partitioned would otherwise
+    /// report its last leader forever and never request to join again.
+    fn clear_silent_leader(&mut self, now: Timestamp) {
         let silent = now >= self.election_deadline;
-        if silent && !self.settings.lacks(Mutant::LearnerKeepsLeader) {
+        if silent && !self.settings.omits_rule(Mutant::LearnerKeepsLeader) {
             self.leader = None;
         }
     }
 
-    fn try_out_election(&mut self, now: Timestamp) {
+    fn start_pre_vote(&mut self, now: Timestamp) {
         self.draw_election_deadline(now);
         self.role = Role::PreCandidate;
         self.leader = None;
@@ -98,9 +107,10 @@
         self.request_votes(self.term.next(), true, false);
     }
 
-    /// Takes the next term and its own vote; asks the others once that is durable.
+    /// Starts the next term and votes for itself; the votes of the others are
+    /// requested once that is durable.
     fn start_election(&mut self, now: Timestamp, transfer: bool) {
-        self.draw_deadline(VOTE_DIVISOR, now);
+        self.draw_deadline(AFTER_VOTE_TIMEOUT_DIVISOR, now);
         self.role = Role::Candidate;
         self.leader = None;
         self.term = self.term.next();
@@ -179,28 +189,28 @@
         else {
             return;
         };
-        if !transfer && self.has_promised(now) {
+        if !transfer && self.must_withhold_vote(now) {
             return;
         }
         if term > self.term && !pre_vote {
             self.become_follower(term, None, now);
         }
-        let free = match pre_vote {
+        let can_vote = match pre_vote {
             true => term > self.term,
             false => term == self.term && self.voted_for.is_none_or(|voted| voted == from),
         };
         let is_up_to_date = self.is_up_to_date(last_index, last_term);
-        if free && !is_up_to_date && !self.memberships.latest().is_voter(self.settings.id) {
-            self.refused_as_voter = true;
+        if can_vote && !is_up_to_date && !self.memberships.latest().is_voter(self.settings.id) {
+            self.refused_vote_as_learner = true;
         }
-        let granted = free && is_up_to_date;
+        let granted = can_vote && is_up_to_date;
         if granted && !pre_vote {
             self.voted_for = Some(from);
             self.durability.hard_state_changed();
-            self.draw_deadline(VOTE_DIVISOR, now);
+            self.draw_deadline(AFTER_VOTE_TIMEOUT_DIVISOR, now);
         }
-        if granted && pre_vote && self.may_hurry() {
-            // The other one is ahead; two candidates would split the votes.
+        if granted && pre_vote && self.may_use_short_timeout() {
+            // The other member started first; two candidates would split the votes.
             self.draw_election_deadline(now);
         }
         let reply = ConsensusMessage::VoteReply {
@@ -211,18 +221,18 @@
         self.send_when_durable(from, reply);
     }
 
-    /// Whether a leader may hold a lease that rests on this member, or is surely
-    /// followed by a quorum.
-    fn has_promised(&self, now: Timestamp) -> bool {
+    /// Whether this member must grant no vote: a leader may hold a lease that
+    /// relies on it, or it is itself a leader with the support of a quorum.
+    fn must_withhold_vote(&self, now: Timestamp) -> bool {
         match self.role {
-            Role::Leader => self.is_followed(now),
-            _ => now < self.lease_promise,
+            Role::Leader => self.has_quorum_support(now),
+            _ => now < self.vote_withheld_until,
         }
     }
 
     fn is_up_to_date(&self, last_index: LogIndex, last_term: Term) -> bool {
-        let own = (self.log.last_term(), self.log.last_index());
-        (last_term, last_index) >= own || self.settings.lacks(Mutant::VoteForStaleLog)
+        let own_last = (self.log.last_term(), self.log.last_index());
+        (last_term, last_index) >= own_last || self.settings.omits_rule(Mutant::VoteForStaleLog)
     }
 
     pub(super) fn on_vote_reply(
@@ -236,17 +246,17 @@
         if !granted {
             return;
         }
-        let wanted = match (self.role, pre_vote) {
+        let expected_term = match (self.role, pre_vote) {
             (Role::PreCandidate, true) => self.term.next(),
             (Role::Candidate, false) => self.term,
             _ => return,
         };
-        if term == wanted {
+        if term == expected_term {
             self.count_vote(from, now);
         }
     }
 
-    /// The leader hands over: stand for election at once.
+    /// Starts an election immediately, because the leader transfers its leadership.
     pub(super) fn on_timeout_now(&mut self, now: Timestamp) {
         let can_stand = matches!(self.role, Role::Follower | Role::PreCandidate);
         if can_stand && self.memberships.latest().is_voter(self.settings.id) {
--- a/crates/consensus/src/core/follower.rs
+++ b/crates/consensus/src/core/follower.rs
@@ -1,4 +1,4 @@
-//! Takes entries in from the leader.
+//! Follower side of log replication.
 
 use super::{Core, Role};
 use crate::entry::Entry;
@@ -6,16 +6,16 @@
 use courseshunt_types::{ControllerId, LogIndex, Timestamp};
 
 impl Core {
-    /// A message of this term's leader arrived.
-    pub(super) fn heard_leader(&mut self, from: ControllerId, now: Timestamp) {
+    /// Records a message from the leader of the current term.
+    pub(super) fn record_leader_message(&mut self, from: ControllerId, now: Timestamp) {
         if matches!(self.role, Role::PreCandidate | Role::Candidate) {
             self.become_follower(self.term, Some(from), now);
         }
         self.leader = Some(from);
-        self.heard_leader_at = Some(now);
-        self.contact.led(now);
-        self.refused_as_voter = false;
-        self.lease_promise = now + self.settings.election_timeout;
+        self.leader_contact_at = Some(now);
+        self.contact.record_leader(now);
+        self.refused_vote_as_learner = false;
+        self.vote_withheld_until = now + self.settings.election_timeout;
         self.draw_election_deadline(now);
     }
 
@@ -39,32 +39,32 @@
         if self.role == Role::Leader {
             return;
         }
-        self.heard_leader(from, now);
+        self.record_leader_message(from, now);
         self.leader_round = self.leader_round.max(round);
-        // What a snapshot holds is committed and so equal to the leader's.
+        // Entries covered by a snapshot are committed, so they match the leader's log.
         let behind_snapshot = previous_index < self.log.previous_index();
         if !behind_snapshot && self.log.term_at(previous_index) != Some(previous_term) {
-            self.refuse_append(from, previous_index);
+            self.reject_append(from, previous_index);
             return;
         }
         let through = LogIndex(previous_index.0 + entries.len() as u64);
-        self.take_entries(entries);
+        self.append_entries(entries);
         self.verified = self.verified.max(through);
         let known = self.verified.min(self.log.last_index());
         self.commit_to(commit.min(known));
-        self.confirm_entries(from);
+        self.acknowledge_entries(from);
     }
 
-    fn take_entries(&mut self, entries: Vec<Entry>) {
+    fn append_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             if entry.index <= self.log.previous_index() {
                 continue;
             }
             match self.log.term_at(entry.index) {
                 Some(term) if term == entry.term => continue,
-                // Never happens while the protocol holds; never obeyed.
+                // A committed entry is never replaced, even if the leader violates the protocol.
                 Some(_) if entry.index <= self.commit => return,
-                Some(_) => self.drop_from(entry.index),
+                Some(_) => self.truncate_log_from(entry.index),
                 None => {}
             }
             if entry.index == self.log.last_index().next() {
@@ -73,15 +73,15 @@
         }
     }
 
-    fn drop_from(&mut self, index: LogIndex) {
+    fn truncate_log_from(&mut self, index: LogIndex) {
         self.log.truncate_from(index);
         self.memberships.truncate_from(index);
         self.durability.truncate_from(index);
-        self.membership_changed();
+        self.apply_membership();
     }
 
-    /// Tells the leader where the logs may still be equal.
-    fn refuse_append(&mut self, from: ControllerId, previous_index: LogIndex) {
+    /// Rejects an append, with a hint where the logs may still match.
+    fn reject_append(&mut self, from: ControllerId, previous_index: LogIndex) {
         let last = self.log.last_index();
         let hint = match previous_index > last {
             true => last,
@@ -96,8 +96,8 @@
         self.send_when_durable(from, reply);
     }
 
-    /// Tells the leader what is durable here.
-    fn confirm_entries(&mut self, leader: ControllerId) {
+    /// Acknowledges to the leader the matching entries that are durable here.
+    fn acknowledge_entries(&mut self, leader: ControllerId) {
         let reply = ConsensusMessage::AppendReply {
             term: self.term,
             accepted: true,
@@ -110,12 +110,12 @@
     pub(super) fn entries_became_durable(&mut self, now: Timestamp) {
         if self.role == Role::Leader {
             self.advance_commit(now);
-            // The others may have committed before the own disk was ready.
+            // A quorum of the others may have committed entries before they were durable here.
             self.apply_committed();
             return;
         }
         if let Some(leader) = self.leader {
-            self.confirm_entries(leader);
+            self.acknowledge_entries(leader);
         }
         self.apply_committed();
     }
--- a/crates/consensus/src/core/leader.rs
+++ b/crates/consensus/src/core/leader.rs
@@ -1,4 +1,4 @@
-//! Leading: proposals, sending of entries, heartbeats.
+//! Leader side of replication: proposals, appends and heartbeats.
 
 use super::change::{PendingChange, Transfer};
 use super::commit::WaitingRead;
@@ -11,29 +11,30 @@
 use courseshunt_types::{ControllerId, LogIndex, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a member keeps while it leads.
+/// State that a member has only while it is the leader.
 #[derive(Debug)]
 pub(super) struct Leadership {
     /// First entry of this term.
     pub(super) first_index: LogIndex,
     pub(super) progress: BTreeMap<ControllerId, Progress>,
     pub(super) round: u64,
-    /// Rounds that no quorum has answered yet, oldest first.
+    /// Rounds that no quorum has acknowledged yet, oldest first.
     pub(super) open_rounds: VecDeque<OpenRound>,
-    /// When the last round that a quorum answered was started.
+    /// Start of the last round that a quorum acknowledged.
     pub(super) confirmed_at: Option<Timestamp>,
-    /// Last round that a quorum answered.
+    /// Last round that a quorum acknowledged.
     pub(super) confirmed_round: u64,
     pub(super) elected_at: Timestamp,
     pub(super) next_heartbeat: Timestamp,
     pub(super) reads: Vec<WaitingRead>,
     pub(super) transfer: Option<Transfer>,
-    /// A hand-over was ordered in this term: the lease is given up for good.
-    pub(super) lease_given_up: bool,
+    /// Whether a transfer was started in this term; the lease is then
+    /// relinquished for the rest of the term.
+    pub(super) lease_relinquished: bool,
     pub(super) pending_change: Option<PendingChange>,
 }
 
-/// A heartbeat round under way.
+/// A heartbeat round in progress.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OpenRound {
     pub(super) round: u64,
@@ -53,13 +54,13 @@
             next_heartbeat: now,
             reads: Vec::new(),
             transfer: None,
-            lease_given_up: false,
+            lease_relinquished: false,
             pending_change: None,
         }
     }
 
-    /// Last sign of a quorum, or the election.
-    pub(super) fn quorum_seen_at(&self) -> Timestamp {
+    /// Start of the last round that a quorum acknowledged, or the election.
+    pub(super) fn quorum_contact_at(&self) -> Timestamp {
         let confirmed_at = self.confirmed_at.unwrap_or_default();
         confirmed_at.max(self.elected_at)
     }
@@ -73,30 +74,30 @@
         self.incoming = None;
         let first_index = self.log.last_index().next();
         self.leadership = Some(Leadership::new(first_index, now));
-        // The first entry of a new group holds its first membership.
+        // The first entry of a new group sets its initial membership.
         let payload = match first_index {
             LogIndex(1) => Payload::Membership(self.memberships.latest().clone()),
             _ => Payload::Noop,
         };
-        // Before the entry is appended, so that it is the first one to be sent.
-        self.membership_changed();
-        self.append_own(payload);
+        // Called before the append, so that the new entry is the first one sent to each member.
+        self.apply_membership();
+        self.append_new_entry(payload);
         self.tick_leader(now);
     }
 
     pub(super) fn on_propose(&mut self, proposal: ProposalId, command: Vec<u8>) {
-        if let Some(reason) = self.refusal() {
+        if let Some(reason) = self.rejection_reason() {
             self.outputs
                 .push(Output::ProposalRejected { proposal, reason });
             return;
         }
-        let index = self.append_own(Payload::Command(command));
-        self.announce(proposal, index);
+        let index = self.append_new_entry(Payload::Command(command));
+        self.report_proposed(proposal, index);
         self.send_entries();
     }
 
-    /// Why nothing can be proposed here now.
-    pub(super) fn refusal(&self) -> Option<RejectionReason> {
+    /// Why proposals are rejected now; `None` when they are accepted.
+    pub(super) fn rejection_reason(&self) -> Option<RejectionReason> {
         match &self.leadership {
             None => Some(RejectionReason::NotLeader {
                 leader: self.leader,
@@ -108,7 +109,7 @@
         }
     }
 
-    pub(super) fn announce(&mut self, proposal: ProposalId, index: LogIndex) {
+    pub(super) fn report_proposed(&mut self, proposal: ProposalId, index: LogIndex) {
         self.outputs.push(Output::Proposed {
             proposal,
             index,
@@ -116,8 +117,8 @@
         });
     }
 
-    /// Appends an entry of this leader's term.
-    pub(super) fn append_own(&mut self, payload: Payload) -> LogIndex {
+    /// Appends an entry in this leader's term.
+    pub(super) fn append_new_entry(&mut self, payload: Payload) -> LogIndex {
         let index = self.log.last_index().next();
         self.append_entry(Entry {
             index,
@@ -127,8 +128,8 @@
         index
     }
 
-    /// Follows the membership in force: role, and members to send to.
-    pub(super) fn membership_changed(&mut self) {
+    /// Adapts the role and the set of tracked members to the membership in effect.
+    pub(super) fn apply_membership(&mut self) {
         if self.role != Role::Leader {
             if matches!(self.role, Role::Follower | Role::Learner) {
                 self.role = self.passive_role();
@@ -153,7 +154,7 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        if now.since(leadership.quorum_seen_at()) >= lease
+        if now.since(leadership.quorum_contact_at()) >= lease
             && leadership.confirmed_round < leadership.round
         {
             self.become_follower(self.term, None, now);
@@ -162,7 +163,7 @@
         if now >= leadership.next_heartbeat {
             leadership.next_heartbeat = now + heartbeat_interval;
             self.start_round(now);
-            self.repeat_lost();
+            self.resend_lost();
         }
         self.check_pending_change(now);
         self.check_transfer(now);
@@ -186,8 +187,8 @@
         self.confirm_rounds(now);
     }
 
-    /// Sends again what got lost.
-    fn repeat_lost(&mut self) {
+    /// Resends the entries and snapshot chunks that count as lost.
+    fn resend_lost(&mut self) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
@@ -204,7 +205,7 @@
         self.send_entries();
     }
 
-    /// Sends new entries to every member, as far as its window allows.
+    /// Sends new entries to every member, as far as its flow-control window allows.
     pub(super) fn send_entries(&mut self) {
         let Some(leadership) = &self.leadership else {
             return;
@@ -256,8 +257,8 @@
         self.leadership.as_mut()?.progress.get_mut(&member)
     }
 
-    /// Sends at most `max_entries` from the member's next one on; returns how
-    /// many were sent.
+    /// Sends at most `max_entries` entries from the member's next one on, or a
+    /// heartbeat if it is 0. Returns the number of entries sent.
     fn send_append(&mut self, member: ControllerId, max_entries: usize) -> u64 {
         let max_bytes = self.settings.max_bytes_per_append;
         let commit = self.commit;
@@ -269,8 +270,8 @@
             return 0;
         };
         progress.commit_sent = commit;
-        // A heartbeat carries the last entry known to match, so that it is
-        // never refused while entries are under way.
+        // A heartbeat refers to the last entry known to match, so that it is
+        // not rejected while entries are in flight.
         let previous_index = match max_entries {
             0 => progress.matched.max(self.log.previous_index()),
             _ => LogIndex(progress.next.0 - 1),
@@ -292,16 +293,16 @@
         count
     }
 
-    /// Tells members of a new commit index when no entries go there anyway.
-    pub(super) fn announce_commit(&mut self) {
+    /// Sends the commit index to members that have not received it with entries.
+    pub(super) fn send_commit_index(&mut self) {
         let commit = self.commit;
         let Some(leadership) = &self.leadership else {
             return;
         };
-        let unaware = leadership.progress.iter();
-        let unaware = unaware.filter(|(_, one)| one.commit_sent < commit);
-        let unaware: Vec<ControllerId> = unaware.map(|(id, _)| *id).collect();
-        for member in unaware {
+        let outdated = leadership.progress.iter();
+        let outdated = outdated.filter(|(_, one)| one.commit_sent < commit);
+        let outdated: Vec<ControllerId> = outdated.map(|(id, _)| *id).collect();
+        for member in outdated {
             self.send_append(member, 0);
         }
     }
@@ -318,11 +319,11 @@
         let Some(progress) = self.progress_mut(from) else {
             return;
         };
-        progress.heard_at = Some(now);
+        progress.last_message_at = Some(now);
         progress.round = progress.round.max(round);
         match accepted {
             true => progress.accept(match_index.min(last)),
-            false => progress.refuse(match_index),
+            false => progress.reject(match_index),
         }
         self.confirm_rounds(now);
         self.advance_commit(now);
--- a/crates/consensus/src/core/mod.rs
+++ b/crates/consensus/src/core/mod.rs
@@ -1,8 +1,9 @@
-//! The state machine itself.
+//! The consensus state machine of one member.
 //!
-//! Invariants: at most one leader in a term; an entry counts as committed only
-//! when a quorum has it durable and it (or a later one) is of the leader's
-//! term; nothing that depends on a persisted state leaves before it is durable.
+//! Invariants: a term has at most one leader; an entry is committed only when
+//! it is durable at a quorum and it, or a later such entry, has the leader's
+//! term; no message that depends on persisted state is sent before that state
+//! is durable.
 
 mod change;
 mod commit;
@@ -39,22 +40,22 @@
 pub enum Role {
     /// Receives the log but does not vote.
     Learner,
-    /// Follows a leader.
+    /// Votes, and accepts entries from a leader.
     Follower,
-    /// Tries out whether it would win an election.
+    /// Asks the voters, before it starts a term, whether they would vote for it (pre-vote).
     PreCandidate,
-    /// Stands for election.
+    /// Requests votes in its own term.
     Candidate,
-    /// Leads.
+    /// Replicates its log to the other members.
     Leader,
 }
 
-/// What storage holds at the start.
+/// State that storage recovered at the start.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Recovered {
-    /// Hard state.
+    /// Durable term and vote.
     pub hard_state: HardState,
-    /// Latest snapshot, already restored by the state machine.
+    /// Latest snapshot; the state machine has already been restored from it.
     pub snapshot: SnapshotMetadata,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
@@ -76,17 +77,17 @@
     applied: LogIndex,
     durability: Durability,
     election_deadline: Timestamp,
-    /// Until then no vote is given: the last heard leader may hold a lease.
-    lease_promise: Timestamp,
-    /// When a leader was last heard.
-    heard_leader_at: Option<Timestamp>,
+    /// No vote is granted before this time, since the last observed leader may hold a lease.
+    vote_withheld_until: Timestamp,
+    /// When the last message from a leader was received.
+    leader_contact_at: Option<Timestamp>,
     contact: Contact,
     votes: BTreeSet<ControllerId>,
-    /// A learner that refused its vote to a candidate which counts it among the voters: see
-    /// [`Core::tick_election`].
-    refused_as_voter: bool,
+    /// Whether this member, a learner by its own log, refused its vote to a candidate that
+    /// counts it among the voters: see [`Core::tick_election`].
+    refused_vote_as_learner: bool,
     transfer_election: bool,
-    /// Last entry known to be equal to the present leader's.
+    /// Last entry known to match the current leader's log.
     verified: LogIndex,
     leader_round: u64,
     incoming: Option<IncomingSnapshot>,
@@ -96,8 +97,8 @@
 }
 
 impl Core {
-    /// Starts a member from what storage recovered. `bootstrap` is the
-    /// membership of a new group; it counts until the log holds one.
+    /// Starts a member from recovered state. `bootstrap` is the membership of a
+    /// new group; it applies until the log or a snapshot contains one.
     #[must_use]
     pub fn new(
         settings: CoreSettings,
@@ -121,8 +122,8 @@
         let recovered_term = recovered.hard_state.term;
         let term = recovered_term.max(last_entry_term.unwrap_or_default());
         let voted_for = recovered.hard_state.voted_for;
-        // A member that restarts may have promised a leader its lease before.
-        let lease_promise = match is_new || !settings.lease_reads {
+        // A leader's lease may still rely on a reply that this member sent before the restart.
+        let vote_withheld_until = match is_new || !settings.lease_reads {
             true => now,
             false => now + settings.election_timeout,
         };
@@ -139,10 +140,10 @@
             log,
             snapshot,
             election_deadline: now,
-            lease_promise,
-            heard_leader_at: None,
+            vote_withheld_until,
+            leader_contact_at: None,
             contact: Contact::new(now),
-            refused_as_voter: false,
+            refused_vote_as_learner: false,
             votes: BTreeSet::new(),
             transfer_election: false,
             verified: LogIndex(0),
@@ -158,7 +159,7 @@
         core
     }
 
-    /// Takes one input and returns what to do, in order.
+    /// Processes one input and returns the outputs to carry out, in order.
     pub fn step(&mut self, input: Input, now: Timestamp) -> Vec<Output> {
         match input {
             Input::Tick => self.on_tick(now),
@@ -176,7 +177,7 @@
         self.finish_step()
     }
 
-    /// The persist comes first, a change of role last.
+    /// Collects the outputs of a step: the persist first, a role change last.
     fn finish_step(&mut self) -> Vec<Output> {
         let hard_state = HardState {
             term: self.term,
@@ -187,9 +188,9 @@
             outputs.push(persist);
         }
         outputs.append(&mut self.outputs);
-        let present = (self.role, self.term, self.leader);
-        if self.reported != Some(present) {
-            self.reported = Some(present);
+        let current = (self.role, self.term, self.leader);
+        if self.reported != Some(current) {
+            self.reported = Some(current);
             outputs.push(Output::RoleChanged {
                 role: self.role,
                 term: self.term,
@@ -208,7 +209,7 @@
 
     fn on_message(&mut self, from: ControllerId, message: ConsensusMessage, now: Timestamp) {
         if self.memberships.latest().is_voter(from) {
-            self.contact.heard(from, now);
+            self.contact.record_message(from, now);
         }
         if !self.admit_term(from, &message, now) {
             return;
@@ -238,8 +239,8 @@
         }
     }
 
-    /// Compares the message's term with the own one. Returns whether the
-    /// message is still of interest.
+    /// Compares the message's term with the current one and adopts a later term.
+    /// Returns whether the message is to be processed.
     fn admit_term(
         &mut self,
         from: ControllerId,
@@ -250,7 +251,7 @@
             return true;
         }
         let term = message.term();
-        let tried_out = matches!(
+        let is_granted_pre_vote = matches!(
             message,
             ConsensusMessage::VoteReply {
                 pre_vote: true,
@@ -258,7 +259,7 @@
                 ..
             }
         );
-        if tried_out {
+        if is_granted_pre_vote {
             return true;
         }
         if term > self.term {
@@ -266,14 +267,14 @@
             return true;
         }
         if term < self.term {
-            self.answer_stale(from, message);
+            self.reply_to_stale_leader(from, message);
             return false;
         }
         true
     }
 
-    /// Tells a deposed leader the present term.
-    fn answer_stale(&mut self, from: ControllerId, message: &ConsensusMessage) {
+    /// Replies to the leader of an earlier term with the current term.
+    fn reply_to_stale_leader(&mut self, from: ControllerId, message: &ConsensusMessage) {
         let from_leader = matches!(
             message,
             ConsensusMessage::Append { .. } | ConsensusMessage::SnapshotChunk { .. }
@@ -289,7 +290,7 @@
         }
     }
 
-    /// Role of a member that neither leads nor stands for election.
+    /// Role of a member that is neither leader nor candidate.
     fn passive_role(&self) -> Role {
         match self.memberships.latest().is_voter(self.settings.id) {
             true => Role::Follower,
@@ -304,8 +305,8 @@
             self.durability.hard_state_changed();
         }
         if let Some(leadership) = self.leadership.take() {
-            self.contact.led(now);
-            self.reject_waiting(leadership);
+            self.contact.record_leader(now);
+            self.reject_pending(leadership);
             self.draw_election_deadline(now);
         }
         self.role = self.passive_role();
@@ -316,8 +317,8 @@
         self.incoming = None;
     }
 
-    /// Refuses what waits for this member's leadership.
-    fn reject_waiting(&mut self, leadership: Leadership) {
+    /// Rejects the reads and the membership change that wait for this leadership.
+    fn reject_pending(&mut self, leadership: Leadership) {
         for waiting in leadership.reads {
             self.outputs.push(Output::ReadRejected {
                 read: waiting.read,
@@ -342,10 +343,10 @@
         }
     }
 
-    /// Appends an entry of the present term, or a follower's copy.
+    /// Appends an entry, created here as leader or received from the leader.
     fn append_entry(&mut self, entry: Entry) {
         if self.memberships.append(&entry) {
-            self.membership_changed();
+            self.apply_membership();
         }
         self.durability.entry_appended(entry.clone());
         self.log.push(entry);
--- a/crates/consensus/src/core/settings.rs
+++ b/crates/consensus/src/core/settings.rs
@@ -1,60 +1,62 @@
-//! Settings of the core.
+//! Settings of the core, and deliberate faults for simulations.
 
 use courseshunt_types::{ControllerId, Millis};
 
 /// Settings of one member's core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoreSettings {
-    /// Identity of this member.
+    /// Identifier of this member.
     pub id: ControllerId,
-    /// Time between heartbeats.
+    /// Time between heartbeat rounds.
     pub heartbeat_interval: Millis,
     /// Shortest election timeout; the longest is twice as long.
     pub election_timeout: Millis,
-    /// Whether a leader answers reads by its lease alone. Without leases each
-    /// read takes a round of heartbeats, and a member that restarts has made no
-    /// promise: a group whose members all restarted elects as soon as a quorum
-    /// is up.
+    /// Whether a leader with a lease serves reads without a heartbeat round.
+    /// Without leases each read takes a heartbeat round, and a member that
+    /// restarts need not withhold its vote: a group whose members all restarted
+    /// elects a leader as soon as a quorum is up.
     pub lease_reads: bool,
-    /// Largest difference of clock speeds, in parts per thousand, that leases allow for.
+    /// Largest difference of clock rates that leases tolerate, in parts per thousand.
     pub clock_drift_per_mille: u32,
-    /// Entries in one append message at the most.
+    /// Maximum number of entries in one append message.
     pub max_entries_per_append: usize,
-    /// Content of one append message, in bytes, beyond which no entry is added.
+    /// Maximum size of the entries of one append message, in bytes; a single
+    /// larger entry is sent alone.
     pub max_bytes_per_append: usize,
-    /// Entries under way to one member at the most.
+    /// Maximum number of entries in flight to one member.
     pub max_entries_in_flight: u64,
-    /// Entries before a snapshot that stay in memory for members a little behind.
+    /// Number of entries before a snapshot that stay in memory, so that members
+    /// slightly behind need no snapshot.
     pub entries_kept_after_snapshot: u64,
-    /// Longest time that a learner has to catch up once its promotion is proposed.
+    /// Time that a learner has to catch up after its promotion is proposed.
     pub catch_up_timeout: Millis,
     /// Seed of the election jitter.
     pub seed: u64,
-    /// A rule that is left out on purpose, to show that checks find it.
+    /// A rule that is deliberately omitted, to show that checks detect it.
     #[cfg(feature = "mutants")]
     pub mutant: Option<Mutant>,
 }
 
-/// A rule of the protocol that can be left out on purpose, to show that the
-/// checks of the simulation can fail.
+/// A rule of the protocol that can be deliberately omitted, to show that the
+/// checks of the simulation detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
     /// Entries are committed without a quorum.
     CommitWithoutQuorum,
-    /// A leader answers reads without asking whether it still leads.
+    /// A leader serves reads without confirming that it is still the leader.
     ReadWithoutLease,
     /// A learner is promoted before it has caught up.
     PromoteBeforeCatchUp,
-    /// A member votes for a candidate whose log is behind its own.
+    /// A member votes for a candidate whose log is less up to date than its own.
     VoteForStaleLog,
-    /// Entries of earlier terms are committed by counting copies alone.
+    /// Entries of earlier terms are committed by counting replicas alone.
     CommitEarlierTerm,
-    /// A learner that hears nobody goes on naming its last leader.
+    /// A learner that receives no messages continues to report its last leader.
     LearnerKeepsLeader,
 }
 
 impl CoreSettings {
-    /// Usual settings for one member.
+    /// Default settings for one member; the seed is its identifier.
     #[must_use]
     pub fn for_member(id: ControllerId) -> Self {
         Self {
@@ -74,23 +76,24 @@
         }
     }
 
-    /// How long after a heartbeat round that a quorum answered no other leader
-    /// can be elected, measured on this member's clock.
+    /// Length of the lease: the time, on this member's clock, after the start of
+    /// a heartbeat round acknowledged by a quorum in which no other leader can
+    /// be elected.
     #[must_use]
     pub fn lease(&self) -> Millis {
         let drift = 1000 + u64::from(self.clock_drift_per_mille);
         Millis(self.election_timeout.0 * 1000 / drift)
     }
 
-    /// Whether a rule is left out on purpose; never outside of simulations.
+    /// Whether a rule is deliberately omitted; always false outside simulations.
     #[cfg(feature = "mutants")]
-    pub(crate) fn lacks(&self, mutant: Mutant) -> bool {
+    pub(crate) fn omits_rule(&self, mutant: Mutant) -> bool {
         self.mutant == Some(mutant)
     }
 
-    /// Whether a rule is left out on purpose; never outside of simulations.
+    /// Whether a rule is deliberately omitted; always false outside simulations.
     #[cfg(not(feature = "mutants"))]
-    pub(crate) fn lacks(&self, _mutant: Mutant) -> bool {
+    pub(crate) fn omits_rule(&self, _mutant: Mutant) -> bool {
         false
     }
 }
--- a/crates/consensus/src/core/snapshot.rs
+++ b/crates/consensus/src/core/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: compaction of the log, and transfer in chunks.
+//! Snapshots: log compaction, and transfer in chunks.
 
 use super::{Core, Role};
 use crate::entry::SnapshotMetadata;
@@ -6,17 +6,17 @@
 use crate::output::Output;
 use courseshunt_types::{ControllerId, LogIndex, Timestamp};
 
-/// A snapshot that arrives from the leader.
+/// A snapshot that is being received from the leader.
 #[derive(Debug, Clone)]
 pub(super) struct IncomingSnapshot {
     last_index: LogIndex,
     next_offset: u64,
-    /// All chunks are there; the surroundings make it durable.
+    /// Whether all chunks were received; the caller is making the snapshot durable.
     complete: bool,
 }
 
 impl Core {
-    /// Describes a snapshot of the state machine at its last applied entry.
+    /// Metadata for a snapshot of the state machine at its last applied entry.
     #[must_use]
     pub fn snapshot_metadata(&self) -> SnapshotMetadata {
         SnapshotMetadata {
@@ -40,8 +40,8 @@
     pub(super) fn on_snapshot_restored(&mut self, metadata: SnapshotMetadata) {
         let index = metadata.last_index;
         if index > self.applied {
-            let log_goes_on = self.log.term_at(index) == Some(metadata.last_term);
-            match log_goes_on {
+            let log_continues = self.log.term_at(index) == Some(metadata.last_term);
+            match log_continues {
                 true => {
                     self.log.compact_to(index);
                     self.memberships.compact_to(index);
@@ -52,11 +52,11 @@
                     self.memberships = crate::membership_log::MembershipLog::new(index, membership);
                 }
             }
-            self.durability.restored(index, log_goes_on);
+            self.durability.restored(index, log_continues);
             self.commit = self.commit.max(index);
             self.applied = index;
             self.snapshot = metadata;
-            self.membership_changed();
+            self.apply_membership();
             self.apply_committed();
         }
         self.incoming = None;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Asks the surroundings to send the chunk at `offset`.
+    /// Makes the caller send the chunk at `offset`, in bytes.
     pub(super) fn request_chunk(&mut self, to: ControllerId, offset: u64) {
         self.outputs.push(Output::SendSnapshotChunk {
             to,
@@ -94,15 +94,15 @@
         if self.role == Role::Leader {
             return;
         }
-        self.heard_leader(from, now);
+        self.record_leader_message(from, now);
         let last_index = metadata.last_index;
         if last_index <= self.commit {
             let last_index = self.durability.through().min(self.commit);
             self.reply_to_chunk(from, last_index, 0, true);
             return;
         }
-        let same = |one: &&mut IncomingSnapshot| one.last_index == last_index;
-        let expected = match self.incoming.as_mut().filter(same) {
+        let is_same = |one: &&mut IncomingSnapshot| one.last_index == last_index;
+        let expected = match self.incoming.as_mut().filter(is_same) {
             Some(incoming) if incoming.complete => return,
             Some(incoming) => incoming.next_offset,
             None => 0,
@@ -155,7 +155,7 @@
         let Some(progress) = self.progress_mut(from) else {
             return;
         };
-        progress.heard_at = Some(now);
+        progress.last_message_at = Some(now);
         if done {
             progress.restored(last_index);
             self.advance_commit(now);
--- a/crates/consensus/src/core/status.rs
+++ b/crates/consensus/src/core/status.rs
@@ -1,35 +1,35 @@
-//! What the surroundings may ask the core.
+//! Read-only views of the core's state for the caller.
 
 use super::{Core, CoreSettings, Role};
 use crate::membership::Membership;
 use courseshunt_types::{ControllerId, LogIndex, Millis, Term, Timestamp};
 
-/// What a leader knows about another member.
+/// Replication progress of another member, as tracked by the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberProgress {
     /// The member.
     pub member: ControllerId,
-    /// Last entry known to be durable there.
+    /// Last entry that the member has acknowledged as durable.
     pub matched: LogIndex,
-    /// Time since it was last heard; `None` when never in this term.
+    /// Time since its last message; `None` if none was received in this term.
     pub silent_for: Option<Millis>,
 }
 
-/// The members as one member knows them.
+/// Membership and progress from one member's point of view.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct MembersView {
     /// Voters and learners.
     pub membership: Membership,
-    /// Whether the membership is committed and no change goes on.
+    /// Whether the membership is committed and no change is in progress.
     pub settled: bool,
-    /// Last committed entry known here.
+    /// This member's commit index.
     pub commit: LogIndex,
-    /// How far each other member is; known at the leader only.
+    /// Progress of the other members; empty except at the leader.
     pub progress: Vec<MemberProgress>,
 }
 
 impl MembersView {
-    /// Voters other than this member that were heard within `limit`.
+    /// Voters other than this member whose last message is less than `limit` old.
     pub fn live_voters(&self, limit: Millis) -> impl Iterator<Item = ControllerId> + '_ {
         let live = self.progress.iter().filter(move |one| {
             let silent = one.silent_for;
@@ -41,7 +41,7 @@
 }
 
 impl Core {
-    /// The members as this one knows them.
+    /// Membership and progress from this member's point of view.
     #[must_use]
     pub fn members_view(&self, now: Timestamp) -> MembersView {
         MembersView {
@@ -64,7 +64,7 @@
         self.role
     }
 
-    /// Present term.
+    /// Current term.
     #[must_use]
     pub fn term(&self) -> Term {
         self.term
@@ -76,13 +76,14 @@
         self.leader
     }
 
-    /// Last entry known to be committed.
+    /// Commit index: last entry known to be committed.
     #[must_use]
     pub fn commit(&self) -> LogIndex {
         self.commit
     }
 
-    /// Last entry handed out for applying.
+    /// Last entry returned in [`Output::Apply`](crate::Output::Apply) or contained in a
+    /// restored snapshot.
     #[must_use]
     pub fn applied(&self) -> LogIndex {
         self.applied
@@ -106,13 +107,13 @@
         self.snapshot.last_index
     }
 
-    /// Members, as of the last appended membership entry.
+    /// The membership in effect: that of the last appended membership entry.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         self.memberships.latest()
     }
 
-    /// Whether the membership in force is committed and no change goes on.
+    /// Whether the membership in effect is committed and no change is in progress.
     #[must_use]
     pub fn membership_is_settled(&self) -> bool {
         let committed = self.memberships.latest_index() <= self.commit;
@@ -121,34 +122,36 @@
         committed && !pending && self.memberships.latest().outgoing.is_empty()
     }
 
-    /// Whether surely no other member leads at `now`.
+    /// Whether this member holds a lease, so that no other member can be leader at `now`.
     #[must_use]
     pub fn has_lease(&self, now: Timestamp) -> bool {
         self.holds_lease(now)
     }
 
-    /// The last moment at which this member was surely in contact with a
-    /// quorum, or with a leader that was within one lease before.
+    /// The last time at which this member is known to have been in contact with
+    /// a quorum. For a member other than the leader it is one election timeout
+    /// before the last message from a leader, since that leader was in contact
+    /// with a quorum within one lease before it.
     #[must_use]
     pub fn quorum_contact(&self) -> Option<Timestamp> {
         match &self.leadership {
             Some(leadership) => leadership.confirmed_at,
             None => self
-                .heard_leader_at
-                .map(|heard| heard - self.settings.election_timeout),
+                .leader_contact_at
+                .map(|at| at - self.settings.election_timeout),
         }
     }
 
-    /// What this leader knows about the other members; empty elsewhere.
+    /// Progress of the other members; empty except at the leader.
     #[must_use]
     pub fn progress(&self, now: Timestamp) -> Vec<MemberProgress> {
         let leadership = self.leadership.iter();
-        let known = leadership.flat_map(|leadership| &leadership.progress);
-        let known = known.map(|(member, progress)| MemberProgress {
+        let members = leadership.flat_map(|leadership| &leadership.progress);
+        let members = members.map(|(member, progress)| MemberProgress {
             member: *member,
             matched: progress.matched,
-            silent_for: progress.heard_at.map(|heard| now.since(heard)),
+            silent_for: progress.last_message_at.map(|at| now.since(at)),
         });
-        known.collect()
+        members.collect()
     }
 }
--- a/crates/consensus/src/entry_log.rs
+++ b/crates/consensus/src/entry_log.rs
@@ -1,13 +1,13 @@
 //! The part of the log that a member keeps in memory.
 //!
-//! Invariant: indexes are consecutive from [`EntryLog::first_index`]; the entry
-//! just before has a known term.
+//! Invariant: indexes are consecutive from [`EntryLog::first_index`], and the
+//! term of the entry just before it is known.
 
 use crate::entry::Entry;
 use courseshunt_types::{LogIndex, Term};
 use std::collections::VecDeque;
 
-/// See the module.
+/// Consecutive entries after a compacted prefix.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct EntryLog {
     previous_index: LogIndex,
@@ -30,7 +30,7 @@
         self.previous_index
     }
 
-    /// Index of the first entry in memory, whether it exists yet or not.
+    /// Index of the first entry in memory; of the next entry while there is none.
     pub(crate) fn first_index(&self) -> LogIndex {
         self.previous_index.next()
     }
@@ -47,7 +47,7 @@
             .map_or(self.previous_term, |entry| entry.term)
     }
 
-    /// Term of the entry at `index`; `None` when it is not known here.
+    /// Term of the entry at `index`; `None` when it is not in memory.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.previous_index {
             return Some(self.previous_term);
@@ -60,20 +60,20 @@
         self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// Adds the entry after the last.
+    /// Appends `entry`, whose index must be the next one.
     pub(crate) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index().next());
         self.entries.push_back(entry);
     }
 
-    /// Drops the entry at `index` and all after it.
+    /// Removes the entry at `index` and all after it.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         let keep = index.0.saturating_sub(self.first_index().0);
         self.entries
             .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
     }
 
-    /// Forgets the entries up to and with `index`.
+    /// Removes the entries up to and including `index`.
     pub(crate) fn compact_to(&mut self, index: LogIndex) {
         while self.previous_index < index {
             let Some(entry) = self.entries.pop_front() else {
@@ -84,13 +84,13 @@
         }
     }
 
-    /// Forgets everything; the log goes on after the entry (`index`, `term`).
+    /// Removes all entries; the log continues after the entry (`index`, `term`).
     pub(crate) fn reset(&mut self, index: LogIndex, term: Term) {
         *self = Self::new(index, term, Vec::new());
     }
 
-    /// Entries from `from` on, at most `max_entries` and about `max_bytes`, but
-    /// at least one when there is one.
+    /// Entries from `from` on: at most `max_entries` entries and `max_bytes`
+    /// bytes, but at least one entry if there is any.
     pub(crate) fn batch(&self, from: LogIndex, max_entries: usize, max_bytes: usize) -> Vec<Entry> {
         let mut bytes = 0;
         let mut batch = Vec::new();
@@ -106,7 +106,7 @@
         batch
     }
 
-    /// Entries after `after`, up to and with `through`.
+    /// Entries after `after`, up to and including `through`.
     pub(crate) fn range(&self, after: LogIndex, through: LogIndex) -> Vec<Entry> {
         let skip = after.0.saturating_sub(self.previous_index.0);
         let count = through.0.saturating_sub(after.0);
@@ -120,7 +120,7 @@
             .collect()
     }
 
-    /// Index before the run of equal terms that `index` lies in.
+    /// Index just before the run of entries that have the term of the entry at `index`.
     pub(crate) fn before_term_of(&self, index: LogIndex) -> LogIndex {
         let Some(term) = self.term_at(index) else {
             return self.previous_index;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,18 +1,18 @@
-//! The replicated log as a pure state machine: no I/O, no clock, no threads.
+//! Raft consensus as a pure state machine: no I/O, no clock, no threads.
 //!
-//! Invariant: an entry handed out by [`Output::Apply`] is on the durable log of
-//! a quorum of voters, and no later leader lacks it.
+//! Invariant: an entry returned in [`Output::Apply`] is in the durable log of
+//! a quorum of voters, and the log of every later leader contains it.
 //!
-//! The caller feeds [`Input`]s with the present [`Timestamp`] to
-//! [`Core::step`] and carries out the [`Output`]s in order: *persist* before
-//! *send* and *apply*. Messages that depend on a persisted state come out only
-//! after the matching [`Input::Persisted`].
+//! The caller passes [`Input`]s and the current [`Timestamp`] to
+//! [`Core::step`] and carries out the returned [`Output`]s in order: *persist*
+//! before *send* and *apply*. Messages that depend on persisted state are
+//! returned only after the matching [`Input::Persisted`].
 //!
 //! [`Timestamp`]: courseshunt_types::Timestamp
 
 #![allow(
     missing_docs,
-    reason = "the fields of the archived enums that rkyv derives carry no docs"
+    reason = "the fields of the archived enums that rkyv derives have no doc comments"
 )]
 
 pub mod core;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,17 +1,17 @@
-//! Who votes and who only listens.
+//! Voters and learners of the group, and the rules for changing them.
 
 use courseshunt_types::ControllerId;
 use std::collections::BTreeSet;
 
-/// Members of the group. While `outgoing` is not empty the group is in a joint
-/// change: a decision needs a majority of `voters` and of `outgoing`.
+/// Members of the group. While `outgoing` is not empty, a joint change is in
+/// progress: a quorum is a majority of `voters` and a majority of `outgoing`.
 #[derive(
     Debug, Clone, PartialEq, Eq, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
 pub struct Membership {
     /// Members that vote.
     pub voters: BTreeSet<ControllerId>,
-    /// Voters of the membership that a joint change leaves behind.
+    /// Voters of the old membership during a joint change; empty otherwise.
     pub outgoing: BTreeSet<ControllerId>,
     /// Members that receive the log but do not vote.
     pub learners: BTreeSet<ControllerId>,
@@ -20,40 +20,40 @@
 /// A change of the membership, proposed to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum MembershipChange {
-    /// Adds a member that listens only.
+    /// Adds a member that receives the log but does not vote.
     AddLearner(ControllerId),
     /// Makes a caught-up learner a voter.
     Promote(ControllerId),
-    /// Makes a caught-up learner a voter in place of a lost one, in one change.
+    /// Replaces a lost voter by a caught-up learner, in one joint change.
     Replace {
         /// The lost voter.
         lost: ControllerId,
-        /// The learner that takes its place.
+        /// The learner that replaces it.
         learner: ControllerId,
     },
     /// Removes a voter or learner.
     Remove(ControllerId),
 }
 
-/// Why a change of the membership was refused.
+/// Why a membership change was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, snafu::Snafu)]
 pub enum MembershipError {
     /// Another change is not committed yet.
     #[snafu(display("another membership change is in progress"))]
     ChangeInProgress,
-    /// The member is unknown.
+    /// The member is not in the group, or not a learner where one is required.
     #[snafu(display("member {member} is not in the group"))]
     UnknownMember {
         /// The member.
         member: ControllerId,
     },
-    /// The member is in the group already.
+    /// The member is already in the group, or already a voter.
     #[snafu(display("member {member} is in the group already"))]
     AlreadyMember {
         /// The member.
         member: ControllerId,
     },
-    /// The learner has not caught up.
+    /// The learner had not caught up before the deadline.
     #[snafu(display("learner {member} has not caught up with the log"))]
     NotCaughtUp {
         /// The learner.
@@ -62,7 +62,7 @@
     /// The leader has not committed an entry of its term yet.
     #[snafu(display("the leader has just been elected; try again"))]
     LeaderNotReady,
-    /// The change would leave too few live voters.
+    /// The live members would not be a quorum of the new membership.
     #[snafu(display("the change would leave the group without a live quorum"))]
     WouldLoseQuorum,
 }
@@ -79,7 +79,7 @@
 }
 
 impl Membership {
-    /// A group of voters without learners.
+    /// A membership of voters without learners.
     #[must_use]
     pub fn of_voters(voters: impl IntoIterator<Item = ControllerId>) -> Self {
         Self {
@@ -95,7 +95,7 @@
             && (self.outgoing.is_empty() || majority(&self.outgoing, present))
     }
 
-    /// Whether `member` votes, in the old or the new set.
+    /// Whether `member` is a voter of the old or of the new membership.
     #[must_use]
     pub fn is_voter(&self, member: ControllerId) -> bool {
         self.voters.contains(&member) || self.outgoing.contains(&member)
@@ -110,11 +110,12 @@
         }
     }
 
-    /// The membership after `change`. One voter more or less is a single step;
-    /// a replacement is joint, since it changes two.
+    /// The membership after `change`. Adding or removing one voter is a
+    /// single-step change; a replacement changes two voters and is a joint change.
     ///
     /// # Errors
-    /// When the change does not fit the members.
+    /// When a joint change is in progress, the members don't allow the change,
+    /// or no voter would be left.
     pub fn after(&self, change: MembershipChange) -> Result<Self, MembershipError> {
         if !self.outgoing.is_empty() {
             return Err(MembershipError::ChangeInProgress);
@@ -158,7 +159,7 @@
         Ok(())
     }
 
-    /// The membership once a joint change is over.
+    /// The membership after the end of a joint change.
     #[must_use]
     pub fn finished(&self) -> Self {
         Self {
--- a/crates/consensus/src/membership_log.rs
+++ b/crates/consensus/src/membership_log.rs
@@ -1,11 +1,11 @@
-//! Memberships along the log, so that a dropped entry brings the earlier
-//! membership back.
+//! History of memberships by log index. When entries are truncated, the
+//! membership from before them takes effect again.
 
 use crate::entry::{Entry, Payload};
 use crate::membership::Membership;
 use courseshunt_types::LogIndex;
 
-/// See the module. The first record is the membership at the log's start.
+/// Memberships by index; the first record is the membership at the start of the log.
 #[derive(Debug, Clone)]
 pub(crate) struct MembershipLog {
     records: Vec<Record>,
@@ -18,31 +18,31 @@
 }
 
 impl MembershipLog {
-    /// Starts with the membership in force at `index`.
+    /// Starts with the membership in effect at `index`.
     pub(crate) fn new(index: LogIndex, membership: Membership) -> Self {
         Self {
             records: vec![Record { index, membership }],
         }
     }
 
-    /// The membership in force.
+    /// The membership in effect, committed or not.
     pub(crate) fn latest(&self) -> &Membership {
         &self.records[self.records.len() - 1].membership
     }
 
-    /// Where the membership in force was written.
+    /// Index of the entry that set the membership in effect.
     pub(crate) fn latest_index(&self) -> LogIndex {
         self.records[self.records.len() - 1].index
     }
 
-    /// The membership in force at `index`.
+    /// The membership in effect at `index`.
     pub(crate) fn at(&self, index: LogIndex) -> &Membership {
-        let mut known = self.records.iter().rev();
-        let found = known.find(|record| record.index <= index);
+        let mut newest_first = self.records.iter().rev();
+        let found = newest_first.find(|record| record.index <= index);
         found.map_or(&self.records[0].membership, |record| &record.membership)
     }
 
-    /// Takes an appended entry in; returns whether it changed the membership.
+    /// Records an appended entry. Returns whether it changed the membership.
     pub(crate) fn append(&mut self, entry: &Entry) -> bool {
         let Payload::Membership(membership) = &entry.payload else {
             return false;
@@ -54,14 +54,14 @@
         true
     }
 
-    /// Forgets the memberships written at `index` and after it.
+    /// Removes the memberships set at `index` and after it.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         while self.records.len() > 1 && self.latest_index() >= index {
             self.records.pop();
         }
     }
 
-    /// Forgets the memberships that were replaced at or before `index`.
+    /// Removes the memberships that were replaced at or before `index`.
     pub(crate) fn compact_to(&mut self, index: LogIndex) {
         let replaced = self.records.iter().filter(|record| record.index <= index);
         let replaced = replaced.count().saturating_sub(1);
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between members.
+//! Messages between members of the group.
 
 use crate::entry::{Entry, SnapshotMetadata};
 use courseshunt_types::{LogIndex, Term};
@@ -6,79 +6,79 @@
 /// A message from one member to another.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum ConsensusMessage {
-    /// Asks for a vote, or with `pre_vote` whether a vote would be given.
+    /// Requests a vote or, with `pre_vote`, asks whether a vote would be granted.
     VoteRequest {
         /// Term of the election.
         term: Term,
-        /// Whether the term is only tried out.
+        /// Whether this is a pre-vote, which does not start the term.
         pre_vote: bool,
-        /// Last entry of the candidate.
+        /// Index of the candidate's last entry.
         last_index: LogIndex,
         /// Term of that entry.
         last_term: Term,
-        /// Whether the present leader asked for the election (planned transfer).
+        /// Whether the current leader requested the election (planned transfer).
         transfer: bool,
     },
-    /// Answers a vote request.
+    /// Reply to a vote request.
     VoteReply {
-        /// Term of the voter.
+        /// Term of the vote if granted, otherwise the voter's current term.
         term: Term,
-        /// Whether this answers a tried-out vote.
+        /// Whether this replies to a pre-vote.
         pre_vote: bool,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// The leader's entries and heartbeat.
+    /// Entries from the leader; without entries, a heartbeat.
     Append {
         /// Term of the leader.
         term: Term,
-        /// Entry just before `entries`.
+        /// Index of the entry just before `entries`.
         previous_index: LogIndex,
         /// Term of that entry.
         previous_term: Term,
         /// Entries to append; empty for a heartbeat.
         entries: Vec<Entry>,
-        /// Committed by the leader.
+        /// The leader's commit index.
         commit: LogIndex,
-        /// Number of the heartbeat round, for read index and leases.
+        /// Number of the heartbeat round, used by reads and leases.
         round: u64,
     },
-    /// Answers an append.
+    /// Reply to an append.
     AppendReply {
         /// Term of the follower.
         term: Term,
-        /// Whether the entries fitted.
+        /// Whether the previous entry matched the follower's log.
         accepted: bool,
-        /// Last durable matching index, or on refusal where to try next.
+        /// Last durable matching index; on rejection, the last index that may match.
         match_index: LogIndex,
-        /// The round that is answered.
+        /// Highest heartbeat round that the follower has received.
         round: u64,
     },
     /// One chunk of a snapshot.
     SnapshotChunk {
         /// Term of the leader.
         term: Term,
-        /// What the snapshot holds.
+        /// Position and membership of the snapshot.
         metadata: SnapshotMetadata,
         /// Offset of `bytes` in the snapshot, in bytes.
         offset: u64,
         /// The chunk.
         bytes: Vec<u8>,
-        /// Whether it is the last.
+        /// Whether this is the last chunk.
         done: bool,
     },
-    /// Answers a chunk.
+    /// Reply to a snapshot chunk.
     SnapshotReply {
         /// Term of the follower.
         term: Term,
         /// Last index of the snapshot in progress.
         last_index: LogIndex,
-        /// Offset of the next chunk wanted, in bytes.
+        /// Offset of the next chunk expected, in bytes.
         next_offset: u64,
         /// Whether the snapshot is durable and restored.
         done: bool,
     },
-    /// Asks the receiver to start an election at once.
+    /// Requests that the receiver starts an election immediately.
     TimeoutNow {
         /// Term of the leader.
         term: Term,
@@ -86,7 +86,7 @@
 }
 
 impl ConsensusMessage {
-    /// Term that the message carries.
+    /// Term field of the message.
     #[must_use]
     pub fn term(&self) -> Term {
         match self {
--- a/crates/consensus/src/output.rs
+++ b/crates/consensus/src/output.rs
@@ -1,4 +1,4 @@
-//! What the core asks of its surroundings.
+//! Outputs of the core, to be carried out by the caller.
 
 use crate::core::Role;
 use crate::entry::{Entry, HardState, SnapshotMetadata};
@@ -7,11 +7,11 @@
 use crate::message::ConsensusMessage;
 use courseshunt_types::{ControllerId, LogIndex, Term};
 
-/// Why a proposal or read was refused. Nothing of it stays in the log unless
-/// [`RejectionReason::LeadershipLost`] says that this is unknown.
+/// Why a proposal or read was rejected. A rejected proposal is not in the log,
+/// except that after [`RejectionReason::LeadershipLost`] this is unknown.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// This member does not lead.
+    /// This member is not the leader.
     NotLeader {
         /// The leader, if known.
         leader: Option<ControllerId>,
@@ -25,9 +25,9 @@
 /// One output of [`Core::step`](crate::Core::step), to be carried out in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Make durable; then answer with [`Input::Persisted`](crate::Input::Persisted).
+    /// Make the contents durable, then reply with [`Input::Persisted`](crate::Input::Persisted).
     Persist {
-        /// Comes back in [`Input::Persisted`](crate::Input::Persisted).
+        /// Number to return in [`Input::Persisted`](crate::Input::Persisted).
         number: PersistNumber,
         /// New hard state, if changed.
         hard_state: Option<HardState>,
@@ -47,67 +47,67 @@
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// A proposal was appended at this index; it is decided once that entry is
-    /// applied with the same term.
+    /// A proposal was appended at this index. It is committed if the entry
+    /// applied at that index has the same term.
     Proposed {
         /// The proposal.
         proposal: ProposalId,
-        /// Where it was appended.
+        /// Index of its entry.
         index: LogIndex,
-        /// Under which term.
+        /// Term of its entry.
         term: Term,
     },
-    /// A proposal was refused.
+    /// A proposal was rejected.
     ProposalRejected {
         /// The proposal.
         proposal: ProposalId,
-        /// Why.
+        /// Reason for the rejection.
         reason: RejectionReason,
     },
     /// A read is linearizable once this index is applied.
     ReadReady {
         /// The read.
         read: ReadId,
-        /// The index.
+        /// Index that must be applied first.
         index: LogIndex,
     },
-    /// A read was refused.
+    /// A read was rejected.
     ReadRejected {
         /// The read.
         read: ReadId,
-        /// Why.
+        /// Reason for the rejection.
         reason: RejectionReason,
     },
     /// The role, term or known leader changed.
     RoleChanged {
         /// The new role.
         role: Role,
-        /// The term.
+        /// The current term.
         term: Term,
         /// The leader, if known.
         leader: Option<ControllerId>,
     },
-    /// Send the latest snapshot, from an offset, to a member that is too far
-    /// behind: the surroundings read the bytes and send the chunk.
+    /// Send a chunk of the latest snapshot to a member whose next entry has
+    /// been compacted away. The caller reads the bytes and sends the chunk.
     SendSnapshotChunk {
         /// The receiver.
         to: ControllerId,
-        /// Term to put into the message.
+        /// Term of the message.
         term: Term,
         /// Offset of the chunk, in bytes.
         offset: u64,
     },
     /// Store a chunk of a snapshot from the leader. When `done`, make the whole
-    /// durable, restore the state machine and answer with
+    /// snapshot durable, restore the state machine from it and reply with
     /// [`Input::SnapshotRestored`](crate::Input::SnapshotRestored).
     StoreSnapshotChunk {
-        /// What the snapshot holds.
+        /// Position and membership of the snapshot.
         metadata: SnapshotMetadata,
         /// Offset of `bytes`, in bytes.
         offset: u64,
         /// The chunk.
         bytes: Vec<u8>,
-        /// Whether it is the last.
+        /// Whether this is the last chunk.
         done: bool,
     },
 }
--- a/crates/consensus/tests/group/harness.rs
+++ b/crates/consensus/tests/group/harness.rs
@@ -7,7 +7,7 @@
 use courseshunt_types::{ControllerId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The read that tests ask for.
+/// Identifier of the reads that tests request.
 pub const READ: ReadId = ReadId(1);
 /// Time between ticks, in milliseconds.
 const TICK: u64 = 20;
@@ -31,20 +31,20 @@
     }
 }
 
-struct Flight {
+struct InFlight {
     from: u64,
     to: u64,
     message: ConsensusMessage,
 }
 
-/// See the module.
+/// The members, their network and the current time in milliseconds.
 pub struct Group {
     now: u64,
     members: BTreeMap<u64, Member>,
-    network: VecDeque<Flight>,
+    network: VecDeque<InFlight>,
     cut_off: BTreeSet<u64>,
-    /// These reach each other, and nobody else reaches them.
-    apart: BTreeSet<u64>,
+    /// These members reach each other, but no other members.
+    partition: BTreeSet<u64>,
     bootstrap: Membership,
     lease_reads: bool,
 }
@@ -61,7 +61,7 @@
             members: BTreeMap::new(),
             network: VecDeque::new(),
             cut_off: BTreeSet::new(),
-            apart: BTreeSet::new(),
+            partition: BTreeSet::new(),
             bootstrap: Membership::of_voters(ids),
             lease_reads,
         };
@@ -76,11 +76,11 @@
         self.start_on(id, bootstrap, Recovered::default());
     }
 
-    /// Starts a member again on what it has made durable.
+    /// Restarts a member with its durable state.
     pub fn restart(&mut self, id: u64) {
         let disk = self.members[&id].disk.clone();
         let bootstrap = self.bootstrap.clone();
-        self.network.retain(|flight| flight.to != id);
+        self.network.retain(|in_flight| in_flight.to != id);
         self.start_on(id, bootstrap, disk);
     }
 
@@ -132,9 +132,9 @@
         self.cut_off.insert(id);
     }
 
-    /// Cuts these off from the others, together.
-    pub fn split(&mut self, apart: impl IntoIterator<Item = u64>) {
-        self.apart = apart.into_iter().collect();
+    /// Separates these members, as one partition, from the others.
+    pub fn split(&mut self, partition: impl IntoIterator<Item = u64>) {
+        self.partition = partition.into_iter().collect();
     }
 
     pub fn has_lost_quorum(&self, id: u64) -> bool {
@@ -143,10 +143,10 @@
 
     pub fn heal(&mut self) {
         self.cut_off.clear();
-        self.apart.clear();
+        self.partition.clear();
     }
 
-    /// Nothing that a member writes becomes durable until [`Self::sync_disk`].
+    /// Delays the completion of a member's writes until [`Self::sync_disk`].
     pub fn hold_disk(&mut self, id: u64) {
         self.members.get_mut(&id).unwrap().slow_disk = true;
     }
@@ -191,14 +191,14 @@
     }
 
     fn deliver(&mut self) {
-        let Some(flight) = self.network.pop_front() else {
+        let Some(in_flight) = self.network.pop_front() else {
             return;
         };
-        let Flight { from, to, message } = flight;
+        let InFlight { from, to, message } = in_flight;
         if self.cut_off.contains(&from) || self.cut_off.contains(&to) {
             return;
         }
-        if self.apart.contains(&from) != self.apart.contains(&to) {
+        if self.partition.contains(&from) != self.partition.contains(&to) {
             return;
         }
         let from = ControllerId(from);
@@ -227,7 +227,7 @@
                     }
                     outputs.extend(member.core.step(persisted, now));
                 }
-                Output::Send { to, message } => self.network.push_back(Flight {
+                Output::Send { to, message } => self.network.push_back(InFlight {
                     from: id,
                     to: to.0,
                     message: message.clone(),
--- a/crates/consensus/tests/group/main.rs
+++ b/crates/consensus/tests/group/main.rs
@@ -1,5 +1,6 @@
-//! Many voters: elections, log repair, reads, transfer and membership on a
-//! network that loses nothing but what a test cuts.
+//! Groups of several voters: elections, log repair, reads, leadership transfer
+//! and membership changes, on a network that loses messages only where a test
+//! partitions it.
 
 mod harness;
 
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn a_leader_cut_off_steps_down_within_its_lease_and_loses_what_no_quorum_has() {
+fn a_partitioned_leader_steps_down_within_its_lease_and_loses_uncommitted_entries() {
     let mut group = Group::new(3);
     let old = group.elect();
     group.cut(old);
@@ -41,72 +42,82 @@
     }
 }
 
-/// Two of five are cut off together, leader or not: they know it soon, and the three, which
-/// elect or keep a leader meanwhile, never take themselves for cut off.
+/// Two of five members are partitioned together, with or without the leader. Both must report
+/// the loss of the quorum within four seconds, and the other three, which elect or keep a
+/// leader meanwhile, must never report it.
 #[test]
-fn a_minority_knows_soon_that_it_hears_no_quorum_and_a_majority_never_says_so() {
+fn a_minority_detects_the_loss_of_the_quorum_and_a_majority_never_reports_it() {
     for first in 1..=5 {
         let mut group = Group::new(5);
         group.elect();
         let second = first % 5 + 1;
         group.split([first, second]);
         let cut = [first, second];
-        let mut known_after = [None; 2];
+        let mut detected_after = [None; 2];
         for tenth in 1..=60 {
             group.run_for(100);
             for id in 1..=5 {
                 let lost = group.has_lost_quorum(id);
                 match cut.iter().position(|one| *one == id) {
-                    None => assert!(!lost, "{id} of the three, {first} cut off, at {tenth}"),
-                    Some(place) if lost => _ = known_after[place].get_or_insert(tenth),
+                    None => assert!(
+                        !lost,
+                        "member {id} of the majority, {first} cut off, at {tenth}"
+                    ),
+                    Some(position) if lost => _ = detected_after[position].get_or_insert(tenth),
                     Some(_) => {}
                 }
             }
         }
-        // Two and a half election timeouts after the leader's last word, one more after the
-        // end of a leadership of its own.
-        let all = known_after.map(|after| after.expect("it knows it"));
+        // Two and a half election timeouts after the last message of the leader, and one more
+        // for a member that was leader itself.
+        let all = detected_after.map(|after| after.expect("the loss of the quorum is detected"));
         assert!(all.iter().all(|after| *after <= 40), "{first}: {all:?}");
         group.heal();
         group.run_for(3_000);
         for id in 1..=5 {
             assert!(
                 !group.has_lost_quorum(id),
-                "{id} is back, {first} was cut off"
+                "member {id} after the partition healed, {first} was cut off"
             );
         }
     }
 }
 
 #[test]
-fn an_election_after_a_lost_leader_is_no_loss_of_the_quorum() {
+fn an_election_after_a_leader_failure_is_not_reported_as_quorum_loss() {
     let mut group = Group::new(3);
     let leader = group.elect();
     group.cut(leader);
     for _ in 0..100 {
         group.run_for(50);
         for id in (1..=3).filter(|id| *id != leader) {
-            assert!(!group.has_lost_quorum(id), "{id} hears the other one");
+            assert!(
+                !group.has_lost_quorum(id),
+                "member {id} receives messages of the other one"
+            );
         }
     }
     assert!(group.has_lost_quorum(leader));
 }
 
 #[test]
-fn a_leader_with_a_slow_disk_commits_through_the_others_and_applies_once_it_is_durable() {
+fn a_leader_with_a_slow_disk_commits_through_the_others_and_applies_after_its_own_sync() {
     let mut group = Group::new(3);
     let leader = group.elect();
     group.hold_disk(leader);
     group.propose(leader, b"x");
     group.run_for(500);
     assert_eq!(group.commands(leader % 3 + 1), [b"x".to_vec()]);
-    assert!(group.commands(leader).is_empty(), "not durable here yet");
+    assert!(
+        group.commands(leader).is_empty(),
+        "the entry is not durable at the leader yet"
+    );
     group.sync_disk(leader);
     assert_eq!(group.commands(leader), [b"x".to_vec()]);
 }
 
 #[test]
-fn a_new_leader_commits_what_it_found_without_waiting_for_a_proposal() {
+fn a_new_leader_commits_inherited_entries_without_a_proposal() {
     let mut group = Group::new(3);
     let old = group.elect();
     group.propose(old, b"x");
@@ -130,7 +141,7 @@
 }
 
 #[test]
-fn a_member_that_was_cut_off_does_not_depose_the_leader_on_its_return() {
+fn a_returning_partitioned_member_does_not_depose_the_leader() {
     let mut group = Group::new(3);
     let leader = group.elect();
     let term = group.core(leader).term();
@@ -144,7 +155,7 @@
 }
 
 #[test]
-fn a_stale_leader_answers_no_reads() {
+fn a_stale_leader_serves_no_reads() {
     let mut group = Group::new(3);
     let old = group.elect();
     group.cut(old);
@@ -183,8 +194,8 @@
     group.run_for(300);
     group.add_member(4);
     group.change(leader, MembershipChange::AddLearner(ControllerId(4)));
-    let refused = group.change(leader, MembershipChange::Promote(ControllerId(9)));
-    assert_eq!(refused, Some(MembershipError::ChangeInProgress));
+    let rejected = group.change(leader, MembershipChange::Promote(ControllerId(9)));
+    assert_eq!(rejected, Some(MembershipError::ChangeInProgress));
     group.run_for(500);
     assert_eq!(group.commands(4).len(), 50);
     assert_eq!(group.core(4).role(), Role::Learner);
@@ -194,10 +205,10 @@
     assert_eq!(group.core(leader).membership().voters.len(), 4);
 }
 
-/// A learner that was removed while it was cut off hears nobody after its return. It must
-/// not go on naming the leader that it heard last, or it never asks to be taken in again.
+/// A learner that was removed while it was partitioned receives no messages after it returns.
+/// If it continued to report its last leader, it would never request to join again.
 #[test]
-fn a_learner_that_hears_nobody_names_no_leader() {
+fn a_learner_without_messages_reports_no_leader() {
     let mut group = Group::new(3);
     let leader = group.elect();
     group.add_member(4);
@@ -213,7 +224,7 @@
 }
 
 #[test]
-fn a_lost_voter_is_replaced_in_one_joint_change_and_a_second_loss_costs_nothing() {
+fn a_lost_voter_is_replaced_in_one_joint_change_and_a_second_loss_is_survived() {
     let mut group = Group::new(3);
     let leader = group.elect();
     group.propose(leader, b"before");
@@ -240,7 +251,7 @@
 }
 
 #[test]
-fn removals_that_lose_the_quorum_are_refused() {
+fn removals_that_lose_the_quorum_are_rejected() {
     let mut group = Group::new(3);
     let leader = group.elect();
     group.run_for(300);
@@ -248,10 +259,10 @@
     let live = lost % 3 + 1;
     group.cut(lost);
     group.run_for(1200);
-    let refused = group.change(leader, MembershipChange::Remove(ControllerId(live)));
-    assert_eq!(refused, Some(MembershipError::WouldLoseQuorum));
-    let refused = group.change(leader, MembershipChange::Remove(ControllerId(lost)));
-    assert_eq!(refused, None);
+    let rejected = group.change(leader, MembershipChange::Remove(ControllerId(live)));
+    assert_eq!(rejected, Some(MembershipError::WouldLoseQuorum));
+    let rejected = group.change(leader, MembershipChange::Remove(ControllerId(lost)));
+    assert_eq!(rejected, None);
 }
 
 #[test]
@@ -267,7 +278,7 @@
 }
 
 #[test]
-fn a_follower_names_the_leader_when_it_refuses() {
+fn a_follower_reports_the_leader_when_it_rejects_a_proposal() {
     let mut group = Group::new(3);
     let leader = group.elect();
     group.run_for(300);
@@ -283,9 +294,9 @@
     );
 }
 
-/// Longest time, in milliseconds, in which members without leases elect after
-/// all have restarted: a fraction of the election timeout of 1,000.
-const SOON: u64 = 600;
+/// Time, in milliseconds, within which members without leases elect a leader after all of
+/// them restarted: a fraction of the election timeout of 1,000 ms.
+const RESTART_ELECTION_MS: u64 = 600;
 
 #[test]
 fn a_group_without_read_leases_elects_soon_after_all_members_restarted() {
@@ -296,7 +307,7 @@
     for id in 1..=5 {
         group.restart(id);
     }
-    group.run_for(SOON);
+    group.run_for(RESTART_ELECTION_MS);
     let leaders = group.leaders();
     assert_eq!(leaders.len(), 1);
     group.run_for(200);
@@ -304,7 +315,7 @@
 }
 
 #[test]
-fn members_with_read_leases_keep_their_promise_over_a_restart() {
+fn members_with_read_leases_withhold_votes_after_a_restart() {
     let mut group = Group::new(5);
     group.elect();
     for id in 1..=5 {
@@ -317,7 +328,7 @@
 }
 
 #[test]
-fn a_hurried_member_that_restarts_leaves_a_followed_leader_alone() {
+fn a_restarted_member_without_leases_does_not_depose_a_live_leader() {
     let mut group = Group::with_lease_reads(5, false);
     let leader = group.elect();
     let term = group.core(leader).term();
@@ -332,8 +343,8 @@
 }
 
 #[test]
-fn a_read_without_lease_takes_a_round() {
-    for (lease_reads, at_once) in [(true, true), (false, false)] {
+fn a_read_without_lease_takes_a_heartbeat_round() {
+    for (lease_reads, immediate) in [(true, true), (false, false)] {
         let mut group = Group::with_lease_reads(3, lease_reads);
         let leader = group.elect();
         let read = Input::Read {
@@ -341,6 +352,6 @@
         };
         let outputs = group.step(leader, read);
         let ready = |one: &Output| matches!(one, Output::ReadReady { .. });
-        assert_eq!(outputs.iter().any(ready), at_once);
+        assert_eq!(outputs.iter().any(ready), immediate);
     }
 }
--- a/crates/consensus/tests/single_voter.rs
+++ b/crates/consensus/tests/single_voter.rs
@@ -1,4 +1,4 @@
-//! A group of one voter commits what it has persisted, and nothing earlier.
+//! A group of one voter commits an entry only after it is persisted.
 
 use courseshunt_consensus::{
     Core, CoreSettings, Input, Membership, Output, PersistNumber, ProposalId, Recovered, Role,
@@ -20,7 +20,7 @@
     let bootstrap = Membership::of_voters([id]);
     let mut core = Core::new(settings, Recovered::default(), bootstrap, Timestamp(0));
     core.step(Input::Tick, Timestamp(5000));
-    assert_eq!(core.role(), Role::Candidate, "its vote is not durable yet");
+    assert_eq!(core.role(), Role::Candidate, "the vote is not durable yet");
     let persisted = |number| Input::Persisted {
         number: PersistNumber(number),
     };
--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -1,8 +1,8 @@
 //! Claims of once-only requests.
 //!
-//! Invariant: between the opening of a claim and its end no second claim is
-//! granted under the same tenant and key; an ended claim never runs again while
-//! it is kept; a claim that was given back before it was opened stays closed.
+//! Invariant: while a claim is open, no second claim is granted under the same
+//! tenant and key; an ended claim is not granted again while it is kept; a claim
+//! that was released before it was opened is never granted.
 
 use crate::reply::{ClaimReply, CommandError, StoredAnswer};
 use courseshunt_types::{
@@ -11,8 +11,8 @@
 };
 use std::collections::BTreeMap;
 
-/// How long a withdrawn claim is remembered: longer than any opening can be
-/// under way.
+/// How long a withdrawn claim is kept: longer than an `OpenClaim` command can be
+/// in flight.
 pub const WITHDRAWN_KEEP: Millis = Millis::from_secs(15 * 60);
 
 /// State of a claim.
@@ -26,7 +26,7 @@
     Unknown,
 }
 
-/// Name of a claim.
+/// Tenant and key that identify a claim.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
@@ -38,7 +38,7 @@
     pub key: IdempotencyKey,
 }
 
-/// Identity of one execution at a runner.
+/// Request and attempt that identify one execution at a runner.
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
@@ -61,11 +61,11 @@
     pub incarnation: Incarnation,
     /// Runner that the request goes to.
     pub runner: RunnerId,
-    /// Identity under which the runner gets it.
+    /// Identifier of the execution at the runner.
     pub execution: ExecutionName,
-    /// State.
+    /// Current state.
     pub state: ClaimState,
-    /// Forgotten after this.
+    /// When the claim is removed.
     pub expires_at: UnixMillis,
 }
 
@@ -76,54 +76,54 @@
 pub struct Claims {
     /// Claims by name.
     pub records: BTreeMap<ClaimName, ClaimRecord>,
-    /// Executions whose claim was given back before it was opened, with the
-    /// time until which that is remembered.
+    /// Executions whose claim was released before it was opened, with the time
+    /// until which this is kept.
     pub withdrawn: BTreeMap<ExecutionName, UnixMillis>,
-    /// Claims that may expire at a time (in milliseconds since the epoch). An
-    /// entry may be out of date; the record decides.
+    /// Claims to check for expiry by time, in milliseconds since the epoch. An
+    /// entry may be outdated; the record is authoritative.
     expiring: BTreeMap<u64, Vec<ClaimName>>,
 }
 
 impl Claims {
-    /// Opens a claim, or tells what became of the one that is there.
-    pub fn open(&mut self, name: &ClaimName, wanted: &ClaimRecord) -> ClaimReply {
-        if self.withdrawn.contains_key(&wanted.execution) {
+    /// Opens a claim, or returns the state of the existing one.
+    pub fn open(&mut self, name: &ClaimName, record: &ClaimRecord) -> ClaimReply {
+        if self.withdrawn.contains_key(&record.execution) {
             return ClaimReply::Withdrawn;
         }
-        match self.look_up(name, wanted.digest) {
+        match self.look_up(name, record.digest) {
             ClaimReply::Free => {}
-            taken => return taken,
+            existing => return existing,
         }
-        self.records.insert(name.clone(), wanted.clone());
-        let expiring = self.expiring.entry(wanted.expires_at.0).or_default();
+        self.records.insert(name.clone(), record.clone());
+        let expiring = self.expiring.entry(record.expires_at.0).or_default();
         expiring.push(name.clone());
         ClaimReply::Granted
     }
 
-    /// What became of a key.
+    /// The state of the claim under a key.
     #[must_use]
     pub fn look_up(&self, name: &ClaimName, digest: Digest) -> ClaimReply {
-        let Some(known) = self.records.get(name) else {
+        let Some(existing) = self.records.get(name) else {
             return ClaimReply::Free;
         };
-        if known.digest != digest {
+        if existing.digest != digest {
             return ClaimReply::Conflict;
         }
-        match &known.state {
+        match &existing.state {
             ClaimState::Open => ClaimReply::InProgress {
-                router: known.router.clone(),
-                incarnation: known.incarnation,
-                runner: known.runner.clone(),
-                request: known.execution.request.clone(),
-                attempt: known.execution.attempt,
+                router: existing.router.clone(),
+                incarnation: existing.incarnation,
+                runner: existing.runner.clone(),
+                request: existing.execution.request.clone(),
+                attempt: existing.execution.attempt,
             },
             ClaimState::Answered(answer) => ClaimReply::Recorded(answer.clone()),
             ClaimState::Unknown => ClaimReply::Unknown,
         }
     }
 
-    /// Gives back the claim of an execution that is proved not to have run. If
-    /// it is not open yet, it never will be.
+    /// Releases the claim of an execution that is proved not to have run. If the
+    /// claim is not open yet, it can't be opened later.
     ///
     /// # Errors
     /// When the claim of this execution has ended.
@@ -148,7 +148,8 @@
         Ok(())
     }
 
-    /// Ends an open claim. The first end counts; an answer replaces `Unknown`.
+    /// Ends an open claim. Later ends are ignored, except that an answer replaces
+    /// `Unknown`.
     ///
     /// # Errors
     /// When no claim of that name belongs to this execution.
@@ -173,7 +174,7 @@
         Ok(())
     }
 
-    /// When something expires next.
+    /// When the next claim or withdrawal expires.
     #[must_use]
     pub fn next_expiry(&self) -> Option<UnixMillis> {
         let claims = self.expiring.keys().next().copied().map(UnixMillis);
@@ -181,7 +182,7 @@
         claims.into_iter().chain(withdrawn).min()
     }
 
-    /// Forgets what has expired.
+    /// Removes expired claims and withdrawals.
     pub fn expire(&mut self, now: UnixMillis) {
         self.withdrawn.retain(|_, until| *until > now);
         let later = self.expiring.split_off(&(now.0 + 1));
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -11,29 +11,29 @@
     TenantName, UnixMillis,
 };
 
-/// A command with what is needed to recognise a resend.
+/// A command with the client and sequence number that identify a resend.
 #[derive(Debug, Clone, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct CommandEnvelope {
-    /// Who sends it. An empty name means that resends need not be recognised.
+    /// The sender. With an empty name, resends are not detected.
     pub client: ClientId,
-    /// Number of the command; a resend has the same one.
+    /// Sequence number of the command; a resend has the same one.
     pub sequence: ClientSequence,
-    /// The client has the answers to all commands below this number.
+    /// The client has received the replies to all commands below this number.
     pub acknowledged: ClientSequence,
-    /// Wall clock of the leader that appended the command.
+    /// Wall-clock time of the leader when it appended the command.
     pub proposed_at: UnixMillis,
     /// The command.
     pub command: Command,
 }
 
-/// What a command changes.
+/// A change of, or a query to, the replicated state.
 #[derive(Debug, Clone, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Command {
-    /// Accepts a batch of documents, whole or not at all.
+    /// Accepts a batch of documents, atomically.
     ChangeConfiguration(ChangeRequest),
-    /// Records a runner. A new incarnation releases what the old one held.
+    /// Records a runner. A new incarnation releases the replicas of the old one.
     RecordRunner(RunnerRecord),
-    /// Records the state of a runner's machine. `Gone` releases what it held.
+    /// Records the state of a runner's machine. `Gone` releases its replicas.
     SetRunnerState {
         /// The runner.
         runner: RunnerId,
@@ -42,38 +42,38 @@
         /// The state.
         state: MachineState,
     },
-    /// Decides one more replica and reserves its memory.
+    /// Places a replica on a runner and reserves its memory.
     PlaceReplica {
         /// The replica.
         replica: ReplicaKey,
         /// Memory to reserve, in MiB.
         memory_mib: u64,
     },
-    /// Records that a replica serves.
+    /// Records that a replica is ready to serve.
     ConfirmReplica {
         /// The replica.
         replica: ReplicaKey,
-        /// Fence of the decision.
+        /// Fence of the placement.
         fence: Fence,
     },
-    /// Decides to unload a replica. Its reservation stays until released.
+    /// Starts the unloading of a replica. Its reservation stays until it is released.
     WithdrawReplica {
         /// The replica.
         replica: ReplicaKey,
-        /// Fence of the decision that placed it.
+        /// Fence of the placement.
         fence: Fence,
     },
     /// Records that the runner has freed the memory of a replica.
     ReleaseReplica {
         /// The replica.
         replica: ReplicaKey,
-        /// Fence of the latest decision on it.
+        /// Fence of the latest decision on the replica.
         fence: Fence,
     },
-    /// Claims the right to run a once-only request on one runner.
+    /// Claims the exclusive right to run a once-only request on one runner.
     OpenClaim(Box<ClaimRequest>),
-    /// Gives a claim back, proved not run. A claim that is not open yet is
-    /// fenced: an opening that arrives later is refused.
+    /// Releases a claim whose request is proved not to have run. If the claim is
+    /// not open yet, an `OpenClaim` that arrives later is refused.
     ReleaseClaim {
         /// The tenant.
         tenant: TenantName,
@@ -94,7 +94,7 @@
         request: RequestId,
         /// Its attempt.
         attempt: Attempt,
-        /// The whole answer; `None` when it is unknown whether it ran.
+        /// The complete answer; `None` when it is unknown whether the request ran.
         answer: Option<StoredAnswer>,
     },
     /// Stores a deferred job.
@@ -109,15 +109,15 @@
         path: String,
         /// The request body.
         body: Vec<u8>,
-        /// Jobs of the deployment that may wait at the most.
+        /// Maximum number of queued jobs of the deployment.
         queue_limit: u32,
         /// Class of the job.
         class: PriorityClass,
-        /// Whether it may run once only.
+        /// Whether it may run at most once.
         once_only: bool,
-        /// To be done within this time.
+        /// Time until the deadline.
         deadline_in: Millis,
-        /// How long the answer is kept after the end.
+        /// How long the answer is kept after the job ended.
         keep: Millis,
     },
     /// Leases a queued job to a router.
@@ -139,19 +139,19 @@
         router: RouterId,
         /// Its incarnation.
         incarnation: Incarnation,
-        /// How it ended.
+        /// How the execution ended.
         end: JobEnd,
     },
     /// Cancels a job that has not ended.
     CancelJob {
         /// The job.
         job: JobId,
-        /// The tenant that asks.
+        /// The tenant that sent the request.
         tenant: TenantName,
     },
-    /// Moves committed time on, so that leases, claims and jobs expire.
+    /// Advances the committed time, so that leases, claims and jobs expire.
     AdvanceTime,
-    /// Tells what became of a key, and changes nothing.
+    /// Returns the claim under a key, without changing it.
     LookUpClaim {
         /// The tenant.
         tenant: TenantName,
@@ -160,96 +160,96 @@
         /// Digest of the request body.
         digest: Digest,
     },
-    /// Shows a job to its tenant. The answer of an ended job counts as fetched.
+    /// Returns a job to its tenant. If the job has ended, its answer counts as fetched.
     ViewJob {
         /// The job.
         job: JobId,
-        /// The tenant that asks.
+        /// The tenant that sent the request.
         tenant: TenantName,
     },
     /// Lists a tenant's jobs.
     ListJobs {
-        /// The tenant that asks.
+        /// The tenant that sent the request.
         tenant: TenantName,
-        /// Jobs at the most.
+        /// Maximum number of jobs to return.
         limit: u32,
     },
-    /// Asks a router to stop as planned.
+    /// Requests the planned shutdown of a router.
     DrainRouter {
         /// The router.
         router: RouterId,
-        /// Its incarnation, if known; later ones are not told then.
+        /// Its incarnation, if known; the request then does not apply to later ones.
         incarnation: Option<Incarnation>,
     },
-    /// Records that a router stops as planned.
+    /// Records that a router has left after a planned shutdown.
     RouterLeft {
         /// The router.
         router: RouterId,
     },
-    /// Asks for no new work for a runner's present process.
+    /// Stops new work for the current process of a runner.
     DrainRunner {
         /// The runner.
         runner: RunnerId,
     },
-    /// Takes a service configuration over if its number is above the held one's.
+    /// Stores a service configuration if its number is higher than the stored one's.
     PutServices {
         /// The operator's number.
         number: u64,
-        /// The document, in the operator's form.
+        /// The document as the operator sent it.
         document: Vec<u8>,
     },
-    /// Records that an instance of a service takes no more work.
+    /// Records that an instance of a service accepts no new work.
     RecordLeaving {
         /// The instance.
         instance: RunnerId,
-        /// Whether it has said that it ends.
+        /// Whether it has reported that it terminates.
         ended: bool,
     },
-    /// Records instances as the leader sees them, so that its successor knows
-    /// them before they register again.
+    /// Records the leader's view of instances, so that its successor has them
+    /// before they register again.
     RecordInstances {
-        /// New or changed.
+        /// New or changed instances.
         changed: Vec<InstanceView>,
-        /// No longer there.
+        /// Instances that are gone.
         gone: Vec<RunnerId>,
     },
-    /// Records that a member is about to give orders to instances.
+    /// Records that a member is about to send orders to instances.
     HoldOrders {
         /// The member.
         member: ControllerId,
     },
-    /// Records where a member of the control group is found.
+    /// Records the address of a member of the control group.
     RecordMember {
         /// The member.
         member: ControllerId,
         /// `ip:port` of its wire port.
         wire_address: String,
     },
-    /// Records which contents of requests are in quarantine, in place of those before.
+    /// Replaces the set of quarantined request contents.
     RecordQuarantine {
-        /// All of them.
+        /// The complete new set.
         contents: Vec<QuarantinedContent>,
     },
 }
 
-/// What is claimed for a once-only request.
+/// A claim for a once-only request.
 #[derive(Debug, Clone, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct ClaimRequest {
-    /// The tenant; keys of different tenants never meet.
+    /// The tenant; keys are scoped to it.
     pub tenant: TenantName,
     /// The caller's key.
     pub key: IdempotencyKey,
     /// Digest of the request body.
     pub digest: Digest,
-    /// Router that dispatches.
+    /// Router that dispatches the request.
     pub router: RouterId,
     /// Its incarnation.
     pub incarnation: Incarnation,
     /// Runner that the request will go to.
     pub runner: RunnerId,
-    /// Identity under which the runner gets it.
+    /// Request identifier that is sent to the runner.
     pub request: RequestId,
-    /// Attempt under which the runner gets it.
+    /// Attempt number that is sent to the runner.
     pub attempt: Attempt,
     /// How long the claim is kept.
     pub keep: Millis,
@@ -260,10 +260,10 @@
 pub enum JobEnd {
     /// It ran; this is its answer.
     Answered(StoredAnswer),
-    /// It is proved not to have run; it is queued again.
+    /// It is proved not to have run and is queued again.
     NotRun,
-    /// It may have run, and may run again: it is queued again. A once-only job
-    /// becomes unknown.
+    /// It may have run, and is queued again since it may run more than once. A
+    /// once-only job ends as unknown instead.
     Retry,
     /// It may have run.
     Unknown,
@@ -272,7 +272,7 @@
         /// Whether it may have run.
         started: bool,
     },
-    /// It was refused for good, such as for a deployment that is gone.
+    /// It was refused permanently, for example because its deployment was removed.
     Refused {
         /// Why.
         message: String,
--- a/crates/state/src/configuration/documents.rs
+++ b/crates/state/src/configuration/documents.rs
@@ -1,10 +1,10 @@
-//! What operators send: documents, removals and batches of them.
+//! Documents, removals and batches of them, as operators send them.
 
 use courseshunt_types::{
     ChangeId, DeploymentDocument, DeploymentName, Digest, ModelName, TenantName, Version,
 };
 
-/// Kinds of documents. Names of different kinds never meet.
+/// Kinds of documents. Each kind has its own namespace.
 #[derive(
     Debug,
     Clone,
@@ -28,12 +28,12 @@
     Deployment,
     /// A tenant.
     Tenant,
-    /// A base model of the catalogue.
+    /// A base model in the catalogue.
     Model,
 }
 
 impl DocumentKind {
-    /// The kind as written in documents.
+    /// Name of the kind, as written in documents.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -97,7 +97,7 @@
     }
 }
 
-/// A tenant and its bearer tokens, kept as digests.
+/// A tenant and the digests of its bearer tokens.
 #[derive(
     Debug,
     Clone,
@@ -113,7 +113,7 @@
 pub struct TenantDocument {
     /// The tenant.
     pub name: TenantName,
-    /// Operator-chosen version; grows with each change.
+    /// Version chosen by the operator; increases with each change.
     pub version: Version,
     /// SHA-256 digests of the bearer tokens.
     pub token_digests: Vec<Digest>,
@@ -127,8 +127,8 @@
     }
 }
 
-/// A base model that deployments may name. The catalogue is optional: while it
-/// has no entry, every model name is allowed.
+/// A base model that deployments may refer to. The catalogue is optional: while
+/// it has no entry, every model name is allowed.
 #[derive(
     Debug,
     Clone,
@@ -142,9 +142,9 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct ModelDocument {
-    /// The model in the weight store.
+    /// Name of the model in the weight store.
     pub name: ModelName,
-    /// Operator-chosen version; grows with each change.
+    /// Version chosen by the operator; increases with each change.
     pub version: Version,
 }
 
@@ -156,7 +156,7 @@
     }
 }
 
-/// Removal of one document, which takes a version like any change.
+/// Removal of one document; like any change it has a version.
 #[derive(
     Debug,
     Clone,
@@ -175,7 +175,7 @@
     pub kind: DocumentKind,
     /// Its name.
     pub name: String,
-    /// Higher than the version it removes.
+    /// Version of the removal, higher than that of the removed document.
     pub version: Version,
 }
 
@@ -186,7 +186,7 @@
         DocumentKey::of(self.kind, &self.name)
     }
 
-    /// Digest of any removal: equal versions of a removal are equal.
+    /// Digest of every removal: two removals of the same version are equal.
     #[must_use]
     pub fn digest() -> Digest {
         Digest::of(b"removal")
@@ -207,7 +207,7 @@
 )]
 #[serde(deny_unknown_fields, default)]
 pub struct ChangeRequest {
-    /// Recognises a resend.
+    /// Change identifier, by which a resend is detected.
     pub change_id: ChangeId,
     /// Deployments to set.
     pub deployments: Vec<DeploymentDocument>,
@@ -217,13 +217,13 @@
     pub models: Vec<ModelDocument>,
     /// Documents to remove.
     pub removals: Vec<Removal>,
-    /// Who sends it; set by the controller that authenticated the operator.
+    /// The sender; set by the controller that authenticated the operator.
     #[serde(skip)]
     pub operator: String,
 }
 
 impl ChangeRequest {
-    /// Digest of the content, without the change identity and the operator.
+    /// Digest of the content, without the change identifier and the operator.
     #[must_use]
     pub fn digest(&self) -> Digest {
         let content = (
@@ -263,7 +263,7 @@
     }
 }
 
-/// One document of a batch, as versions are compared.
+/// One document of a batch, reduced to what is compared between versions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeItem {
     /// Kind and name.
--- a/crates/state/src/configuration/mod.rs
+++ b/crates/state/src/configuration/mod.rs
@@ -1,6 +1,6 @@
-//! Accepted documents, with versions and change identities.
+//! Accepted documents, with versions and change identifiers.
 //!
-//! Invariant: the version of a document never goes down, also after its
+//! Invariant: the version of a document never decreases, even after its
 //! removal, and each accepted batch gets the next revision.
 
 mod documents;
@@ -18,9 +18,9 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// History entries kept.
+/// Maximum number of history entries; the oldest are dropped.
 pub const MAX_HISTORY: usize = 4096;
-/// Documents named in one history entry at the most.
+/// Maximum number of documents listed in one history entry.
 pub const MAX_HISTORY_DOCUMENTS: usize = 32;
 
 /// An accepted deployment.
@@ -52,7 +52,7 @@
     pub revision: Revision,
 }
 
-/// A removed document, remembered so that its version never goes down.
+/// A removed document, kept so that its version never decreases.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Tombstone {
     /// Version of the removal.
@@ -79,9 +79,9 @@
 pub struct HistoryEntry {
     /// Its revision.
     pub revision: Revision,
-    /// Its change identity.
+    /// Its change identifier.
     pub change_id: ChangeId,
-    /// Who sent it.
+    /// The operator that sent it.
     pub operator: String,
     /// When it was accepted.
     pub at: UnixMillis,
@@ -111,10 +111,10 @@
 }
 
 impl Configuration {
-    /// Accepts a batch, whole or not at all.
+    /// Accepts a batch atomically.
     ///
     /// # Errors
-    /// The first conflict; nothing is changed then.
+    /// The first conflict; the configuration is then unchanged.
     pub fn change(
         &mut self,
         request: &ChangeRequest,
@@ -126,13 +126,13 @@
             ValidationOutcome::Changes(changes) => {
                 self.revision = self.revision.next();
                 self.store(request, &changes);
-                self.remember(request, changes, at);
+                self.record_history(request, changes, at);
                 Ok(self.revision)
             }
         }
     }
 
-    /// The batch that first used a change identity, if it is remembered.
+    /// The batch that first used a change identifier, if it is still in the history.
     #[must_use]
     pub fn first_use(&self, change_id: &ChangeId) -> Option<&HistoryEntry> {
         if change_id.as_str().is_empty() {
@@ -144,7 +144,7 @@
             .find(|entry| entry.change_id == *change_id)
     }
 
-    /// What is known about a document, also after its removal.
+    /// Version, digest and revision of a document, even after its removal.
     #[must_use]
     pub fn current(&self, key: &DocumentKey) -> Option<CurrentDocument> {
         self.stored(key).or_else(|| {
@@ -242,7 +242,7 @@
         self.tombstones.insert(removal.key(), tombstone);
     }
 
-    fn remember(
+    fn record_history(
         &mut self,
         request: &ChangeRequest,
         changes: BTreeSet<DocumentKey>,
--- a/crates/state/src/configuration/validation.rs
+++ b/crates/state/src/configuration/validation.rs
@@ -1,4 +1,4 @@
-//! Judges a batch against the configuration in force, without changing it.
+//! Validates a batch against the configuration in force, without changing it.
 
 use super::documents::{ChangeItem, ChangeRequest, DocumentKey, DocumentKind, Removal};
 use super::{Configuration, CurrentDocument};
@@ -8,24 +8,24 @@
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
-/// What a batch must fit, besides the documents in force.
+/// Limits that a batch must respect besides the documents in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct FleetLimits {
     /// Memory of the largest known runner, in MiB; `None` while none is known.
     pub largest_runner_mib: Option<u64>,
 }
 
-/// What accepting a batch would do.
+/// Result of accepting a valid batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ValidationOutcome {
-    /// Nothing: it is in force, or was, since this revision.
+    /// No change: the batch is or was in force since this revision.
     AlreadyApplied(Revision),
-    /// It sets or removes these documents.
+    /// The batch sets or removes these documents.
     Changes(BTreeSet<DocumentKey>),
 }
 
 impl Configuration {
-    /// Judges a batch.
+    /// Validates a batch, and returns what accepting it would change.
     ///
     /// # Errors
     /// The first conflict.
@@ -71,7 +71,7 @@
         Ok(changes)
     }
 
-    /// Revision that set the content of a batch that changes nothing.
+    /// Revision that set the content of a batch which changes nothing.
     fn revision_of(&self, items: &[ChangeItem]) -> Revision {
         let current = items.iter().filter_map(|item| self.current(&item.key));
         let revisions = current.map(|current| current.revision);
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Names that documents refer to must be there after the batch.
+    /// Checks that names that documents refer to exist after the batch.
     fn check_references(
         &self,
         request: &ChangeRequest,
@@ -129,7 +129,7 @@
         models
     }
 
-    /// No deployment may name a removed model or tenant.
+    /// Checks that no deployment refers to a removed model or tenant.
     fn check_unused(&self, request: &ChangeRequest) -> Result<(), ConfigurationConflict> {
         let removals = request.removals.iter().map(Removal::key);
         let removed: BTreeSet<DocumentKey> = removals.collect();
@@ -167,7 +167,7 @@
     request.deployments.iter().filter(changed)
 }
 
-/// Checks each document by itself.
+/// Checks each document on its own, without reference to others.
 fn check_contents(request: &ChangeRequest) -> Result<(), ConfigurationConflict> {
     for document in &request.deployments {
         let key = DocumentKey::deployment(&document.name);
@@ -208,7 +208,7 @@
 }
 
 /// Compares a document with the current one: `Ok(true)` when it is newer,
-/// `Ok(false)` when it is the same.
+/// `Ok(false)` when both are equal.
 fn compare(
     item: &ChangeItem,
     current: Option<&CurrentDocument>,
--- a/crates/state/src/drains.rs
+++ b/crates/state/src/drains.rs
@@ -1,39 +1,39 @@
-//! Planned stops that operators have asked for.
+//! Planned shutdowns requested by operators.
 //!
-//! Invariant: a drained runner stays leaving for its incarnation, whatever the
-//! platform's list says; a router's drain ends when it leaves, or after
-//! [`ROUTER_DRAIN_KEEP`].
+//! Invariant: a drained runner stays leaving during its incarnation, whatever
+//! state the platform reports; a router's drain ends when the router leaves, or
+//! after [`ROUTER_DRAIN_KEEP`].
 
 use courseshunt_types::runner_api::MachineState;
 use courseshunt_types::{Incarnation, Millis, RouterId, RunnerId, UnixMillis};
 use std::collections::BTreeMap;
 
-/// How long a router that is not there may still be told to stop.
+/// How long a drain request is kept for a router that does not leave.
 pub const ROUTER_DRAIN_KEEP: Millis = Millis::from_secs(600);
 
-/// A router that is to stop.
+/// A drain request for a router.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct RouterDrain {
-    /// Its incarnation, when the controller that was asked knew it; later ones
-    /// are not told then.
+    /// Its incarnation, if the controller that received the request knew it; the
+    /// request then does not apply to later incarnations.
     pub incarnation: Option<Incarnation>,
-    /// Told until then.
+    /// When the request expires.
     pub until: UnixMillis,
 }
 
-/// See the module.
+/// Routers and runners that are being drained.
 #[derive(
     Debug, Clone, PartialEq, Eq, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
 pub struct Drains {
-    /// Routers that are to stop.
+    /// Drain requests by router.
     routers: BTreeMap<RouterId, RouterDrain>,
     /// Drained runners by incarnation.
     runners: BTreeMap<RunnerId, Incarnation>,
 }
 
 impl Drains {
-    /// Asks a router to stop.
+    /// Requests the shutdown of a router.
     pub fn drain_router(
         &mut self,
         router: &RouterId,
@@ -45,24 +45,24 @@
         self.routers.insert(router.clone(), drain);
     }
 
-    /// Notes that a router has left.
+    /// Records that a router has left.
     pub fn router_left(&mut self, router: &RouterId) {
         self.routers.remove(router);
     }
 
-    /// Whether a router's process is to stop.
+    /// Whether the router's process must shut down.
     #[must_use]
     pub fn is_router_draining(&self, router: &RouterId, incarnation: Incarnation) -> bool {
         let drain = self.routers.get(router);
         drain.is_some_and(|drain| drain.incarnation.is_none_or(|one| one == incarnation))
     }
 
-    /// Asks for no new work for a runner's present process.
+    /// Stops new work for the current process of a runner.
     pub fn drain_runner(&mut self, runner: &RunnerId, incarnation: Incarnation) {
         self.runners.insert(runner.clone(), incarnation);
     }
 
-    /// State of a runner's machine with its drain.
+    /// State of a runner's machine, which is `Leaving` instead of `Live` if it is drained.
     #[must_use]
     pub fn effective_state(
         &self,
@@ -77,13 +77,13 @@
         }
     }
 
-    /// When something is forgotten next.
+    /// When the next drain request expires.
     #[must_use]
     pub fn next_expiry(&self) -> Option<UnixMillis> {
         self.routers.values().map(|drain| drain.until).min()
     }
 
-    /// Forgets what has expired.
+    /// Removes expired drain requests.
     pub fn expire(&mut self, now: UnixMillis) {
         self.routers.retain(|_, drain| drain.until > now);
     }
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -1,7 +1,7 @@
 //! Deferred jobs.
 //!
-//! Invariant: an accepted job ends in exactly one visible way: answered,
-//! unknown, cancelled, refused, or missed its deadline; it stays until it was
+//! Invariant: an accepted job ends in exactly one visible state: answered,
+//! unknown, cancelled, refused or deadline missed. It is kept until it was
 //! fetched or expires. A once-only job is leased at most once, unless its
 //! executor proved that it did not run.
 
@@ -13,16 +13,16 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long the answer of a fetched job stays, so that a caller who lost it can
+/// How long the answer of a fetched job is kept, so that a caller who lost it can
 /// fetch it again.
 pub const FETCHED_KEEP: Millis = Millis::from_secs(10 * 60);
 
 /// State of a job.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum JobState {
-    /// Waits for an executor.
+    /// Queued for an executor.
     Queued,
-    /// Runs at a router.
+    /// Leased to a router, which executes it.
     Leased {
         /// The executor.
         router: RouterId,
@@ -39,12 +39,12 @@
     Cancelled,
     /// The deadline passed before the end.
     DeadlineMissed,
-    /// It can't run.
+    /// It was refused permanently, with this message.
     Refused(String),
 }
 
 impl JobState {
-    /// Name for callers and operators.
+    /// Name shown to callers and operators.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -74,27 +74,27 @@
     pub deployment: DeploymentName,
     /// Path at the runner.
     pub path: String,
-    /// The request body; emptied at the end.
+    /// The request body; empty once the job has ended.
     pub body: Vec<u8>,
     /// Digest of the body.
     pub digest: Digest,
-    /// Class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// Whether it may run once only.
+    /// Whether it may run at most once.
     pub once_only: bool,
     /// When it was accepted.
     pub submitted_at: UnixMillis,
-    /// To be done by then.
+    /// Deadline.
     pub deadline: UnixMillis,
-    /// How long the answer is kept after the end.
+    /// How long the answer is kept after the job ended.
     pub keep: Millis,
     /// When it ended.
     pub ended_at: Option<UnixMillis>,
-    /// Forgotten after this, once it has ended.
+    /// When the record is removed; set once the job has ended.
     pub expires_at: Option<UnixMillis>,
     /// Whether it may have run.
     pub started: bool,
-    /// State.
+    /// Current state.
     pub state: JobState,
 }
 
@@ -150,8 +150,8 @@
         }
     }
 
-    /// The next moment at which [`Jobs::expire`] must look at it.
-    fn next_look(&self) -> UnixMillis {
+    /// The next time at which [`Jobs::expire`] must check the job.
+    fn next_check_at(&self) -> UnixMillis {
         match &self.state {
             JobState::Queued => self.deadline,
             JobState::Leased { until, .. } => *until,
@@ -169,18 +169,18 @@
     pub records: BTreeMap<JobId, JobRecord>,
     /// Queued jobs by deployment.
     queued: BTreeMap<DeploymentName, BTreeSet<JobId>>,
-    /// Grows with each change of the queued jobs.
+    /// Increases with each change of the set of queued jobs.
     pub queue_revision: u64,
-    /// Jobs to look at by time (in milliseconds since the epoch). An entry may
-    /// be out of date; the record decides.
+    /// Jobs to check by time, in milliseconds since the epoch. An entry may be
+    /// outdated; the record is authoritative.
     expiring: BTreeMap<u64, Vec<JobId>>,
 }
 
 impl Jobs {
-    /// Stores a job; a resend of the same job changes nothing.
+    /// Stores a job. A resend of the same job has no effect.
     pub fn submit(&mut self, job: &JobId, record: JobRecord, queue_limit: u32) -> JobReply {
-        if let Some(known) = self.records.get(job) {
-            let same = known.tenant == record.tenant && known.digest == record.digest;
+        if let Some(existing) = self.records.get(job) {
+            let same = existing.tenant == record.tenant && existing.digest == record.digest;
             return match same {
                 true => JobReply::Accepted,
                 false => JobReply::Conflict,
@@ -207,7 +207,7 @@
         jobs.filter_map(|job| Some((job, self.records.get(job)?)))
     }
 
-    /// Brings the indexes up to date with a record.
+    /// Updates the indexes after a change of a record.
     fn reindex(&mut self, job: &JobId) {
         let Some(record) = self.records.get(job) else {
             return;
@@ -220,8 +220,8 @@
             _ => remove_queued(&mut self.queued, &record.deployment, job),
         };
         self.queue_revision += u64::from(changed);
-        let looks = self.expiring.entry(record.next_look().0).or_default();
-        looks.push(job.clone());
+        let due = self.expiring.entry(record.next_check_at().0).or_default();
+        due.push(job.clone());
     }
 
     /// Leases a queued job, or renews a lease.
@@ -295,7 +295,7 @@
         JobReply::Accepted
     }
 
-    /// Cancels a job that has not ended. One that runs may have run.
+    /// Cancels a job that has not ended. A leased job may have run.
     pub fn cancel(&mut self, job: &JobId, tenant: &TenantName, now: UnixMillis) -> JobReply {
         let record = self.records.get_mut(job);
         let Some(record) = record.filter(|record| record.tenant == *tenant) else {
@@ -310,7 +310,8 @@
         JobReply::Found(view)
     }
 
-    /// Shows a job to its tenant; an ended one stays only a while longer.
+    /// Returns a job to its tenant. One that has ended then expires after
+    /// [`FETCHED_KEEP`] at the latest.
     pub fn view(&mut self, job: &JobId, tenant: &TenantName, now: UnixMillis) -> JobReply {
         let record = self.records.get_mut(job);
         let Some(record) = record.filter(|record| record.tenant == *tenant) else {
@@ -334,13 +335,13 @@
         JobReply::List(views.take(limit as usize).collect())
     }
 
-    /// When something must be looked at next.
+    /// When the next job must be checked.
     #[must_use]
     pub fn next_expiry(&self) -> Option<UnixMillis> {
         self.expiring.keys().next().copied().map(UnixMillis)
     }
 
-    /// Ends leases and deadlines that have passed, and forgets old jobs.
+    /// Ends expired leases, applies missed deadlines and removes expired jobs.
     pub fn expire(&mut self, now: UnixMillis) {
         let later = self.expiring.split_off(&(now.0 + 1));
         let due = std::mem::replace(&mut self.expiring, later);
@@ -353,7 +354,7 @@
         let Some(record) = self.records.get_mut(job) else {
             return;
         };
-        if record.next_look() > now {
+        if record.next_check_at() > now {
             return;
         }
         if record.state.ended() {
@@ -394,8 +395,8 @@
     }
 }
 
-/// A lost executor's job: a repeatable one waits again, a once-only one may
-/// have run.
+/// Ends the lease of a lost executor. A repeatable job is queued again; a
+/// once-only job may have run and becomes unknown.
 fn expire_lease(record: &mut JobRecord, now: UnixMillis) {
     if !matches!(record.state, JobState::Leased { .. }) {
         return;
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,12 +1,12 @@
-//! Replicated commands and the state they change.
+//! Replicated commands and the state machine that applies them.
 //!
-//! Invariant: [`ReplicatedState::apply`] is deterministic. It reads no clock,
-//! no random numbers and no memory addresses; equal logs give equal states on
+//! Invariant: [`ReplicatedState::apply`] is deterministic. It depends on no
+//! clock, random numbers or memory addresses; equal logs give equal states on
 //! every member. Time comes from the log, as written by the leader.
 
 #![allow(
     missing_docs,
-    reason = "the fields of the archived enums that rkyv derives carry no docs"
+    reason = "the fields of the archived enums that rkyv derives have no doc comments"
 )]
 
 pub mod claims;
--- a/crates/state/src/members.rs
+++ b/crates/state/src/members.rs
@@ -1,7 +1,7 @@
 //! Addresses of the control group's members.
 //!
-//! Who votes is decided by the consensus log; this only tells where a member
-//! that joined later is found.
+//! The membership itself is part of the consensus log; this holds only the
+//! addresses of members that joined later.
 
 use courseshunt_types::ControllerId;
 use std::collections::BTreeMap;
--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -1,10 +1,11 @@
-//! Runners, decided replicas and their memory reservations.
+//! Runners, placed replicas and their memory reservations.
 //!
 //! Invariants: the reservations on a runner never exceed its memory; a
 //! deployment never has more replicas than its document allows, not counting
-//! those on machines that are leaving, which may be replaced before they go; a
-//! reservation ends only by a release with the right fence, a new incarnation
-//! of the runner, or the end of its machine. A silent runner's replicas count.
+//! those on machines that are leaving, which may be replaced before they are
+//! gone; a reservation ends only by a release with the current fence, a new
+//! incarnation of the runner, or the end of its machine. The replicas of an
+//! unreachable runner count.
 
 use crate::reply::CommandError;
 use courseshunt_types::runner_api::MachineState;
@@ -13,7 +14,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A known runner.
+/// A registered runner.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct RunnerRecord {
     /// The runner.
@@ -24,7 +25,7 @@
     pub zone: Zone,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Accelerators in it.
+    /// Number of accelerators.
     pub accelerators: u32,
     /// Accelerator memory, in MiB.
     pub memory_mib: u64,
@@ -32,20 +33,20 @@
     pub state: MachineState,
 }
 
-/// State of a decided replica.
+/// State of a placed replica.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
 pub enum ReplicaPhase {
-    /// Decided; the runner is to load it.
+    /// Placed; the runner has to load it.
     Loading,
-    /// The runner said that it serves.
+    /// The runner reported that it is ready.
     Ready,
-    /// Decided to be unloaded; the reservation stays until released.
+    /// To be unloaded; the reservation stays until it is released.
     Withdrawn,
 }
 
-/// A decided replica.
+/// A placed replica.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct ReplicaRecord {
     /// The replica.
@@ -54,9 +55,9 @@
     pub fence: Fence,
     /// Reserved memory, in MiB.
     pub memory_mib: u64,
-    /// State.
+    /// Current phase.
     pub phase: ReplicaPhase,
-    /// Incarnation of the runner at the decision.
+    /// Incarnation of the runner when the replica was placed.
     pub incarnation: Incarnation,
     /// When it was placed.
     pub placed_at: UnixMillis,
@@ -71,13 +72,13 @@
     pub runners: BTreeMap<RunnerId, RunnerRecord>,
     /// Replicas by deployment and runner.
     pub replicas: BTreeMap<ReplicaKey, ReplicaRecord>,
-    /// Index of `replicas` by runner, so that the loss of a runner costs work
-    /// in proportion to its replicas only.
+    /// Index of `replicas` by runner, so that the work on the loss of a runner is
+    /// proportional to the number of its replicas.
     by_runner: BTreeMap<RunnerId, BTreeSet<DeploymentName>>,
 }
 
 impl Placement {
-    /// Replicas on a runner, those being unloaded included.
+    /// Replicas on a runner, including those that are being unloaded.
     pub fn on_runner<'a>(
         &'a self,
         runner: &'a RunnerId,
@@ -92,7 +93,7 @@
         })
     }
 
-    /// Replicas of a deployment, those being unloaded included.
+    /// Replicas of a deployment, including those that are being unloaded.
     pub fn of_deployment<'a>(
         &'a self,
         deployment: &'a DeploymentName,
@@ -112,14 +113,14 @@
         self.on_runner(runner).map(|record| record.memory_mib).sum()
     }
 
-    /// Replicas of a deployment, those being unloaded included.
+    /// Number of replicas of a deployment, including those that are being unloaded.
     #[must_use]
     pub fn count(&self, deployment: &DeploymentName) -> u32 {
         u32::try_from(self.of_deployment(deployment).count()).unwrap_or(u32::MAX)
     }
 
-    /// Replicas of a deployment that count against its maximum: all but those
-    /// on machines that are leaving.
+    /// Number of replicas of a deployment that count against its maximum: all
+    /// except those on machines that are leaving.
     #[must_use]
     pub fn count_against_limit(&self, deployment: &DeploymentName) -> u32 {
         let leaving = |runner: &RunnerId| {
@@ -132,10 +133,10 @@
         u32::try_from(staying.count()).unwrap_or(u32::MAX)
     }
 
-    /// Records a runner; a new incarnation releases the replicas of the old.
+    /// Records a runner. A new incarnation releases the replicas of the old one.
     pub fn record_runner(&mut self, record: &RunnerRecord) {
-        let known = self.runners.get(&record.runner);
-        if known.is_some_and(|known| known.incarnation != record.incarnation) {
+        let existing = self.runners.get(&record.runner);
+        if existing.is_some_and(|existing| existing.incarnation != record.incarnation) {
             self.release_all(&record.runner);
         }
         self.runners.insert(record.runner.clone(), record.clone());
@@ -167,11 +168,11 @@
         }
     }
 
-    /// Decides one more replica and reserves its memory.
+    /// Places a replica and reserves its memory.
     ///
     /// # Errors
-    /// When the runner is not live, lacks the memory or has the replica, or the
-    /// deployment has `limit` replicas already.
+    /// When the runner is not live, does not have enough free memory or already
+    /// has the replica, or the deployment already has `limit` replicas.
     pub fn place(
         &mut self,
         replica: &ReplicaKey,
@@ -217,10 +218,10 @@
         Ok(fence)
     }
 
-    /// Records that a replica serves.
+    /// Records that a loading replica is ready to serve.
     ///
     /// # Errors
-    /// When no loading replica has this fence.
+    /// When no such replica has this fence.
     pub fn confirm(&mut self, replica: &ReplicaKey, fence: Fence) -> Result<(), CommandError> {
         let record = self.with_fence(replica, fence)?;
         if record.phase == ReplicaPhase::Loading {
@@ -229,7 +230,7 @@
         Ok(())
     }
 
-    /// Decides to unload a replica, under a new fence.
+    /// Starts the unloading of a replica, under a new fence.
     ///
     /// # Errors
     /// When no replica has the old fence.
@@ -245,7 +246,7 @@
         Ok(new)
     }
 
-    /// Ends a reservation after the runner freed the memory.
+    /// Removes a replica and its reservation after the runner freed the memory.
     ///
     /// # Errors
     /// When no replica has this fence.
--- a/crates/state/src/reply.rs
+++ b/crates/state/src/reply.rs
@@ -1,4 +1,4 @@
-//! What applying a command gives back.
+//! Results of applying commands.
 
 use crate::configuration::DocumentKey;
 use courseshunt_types::{
@@ -6,7 +6,7 @@
     PriorityClass, RequestId, Revision, RouterId, RunnerId, TenantName, UnixMillis, Version,
 };
 
-/// A whole recorded answer.
+/// A complete recorded HTTP response.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct StoredAnswer {
     /// HTTP status.
@@ -20,7 +20,7 @@
 /// Result of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum ClaimReply {
-    /// The request may be dispatched, once, by the router that asked.
+    /// The router that opened the claim may dispatch the request, once.
     Granted,
     /// Another dispatch holds the claim.
     InProgress {
@@ -28,11 +28,11 @@
         router: RouterId,
         /// Incarnation of that router.
         incarnation: Incarnation,
-        /// Runner that it goes to.
+        /// Runner that the request was dispatched to.
         runner: RunnerId,
-        /// Identity under which the runner got it.
+        /// Request identifier that was sent to the runner.
         request: RequestId,
-        /// Attempt under which the runner got it.
+        /// Attempt number that was sent to the runner.
         attempt: Attempt,
     },
     /// It ran; this is the recorded answer.
@@ -41,39 +41,39 @@
     Unknown,
     /// The same key was used with another body.
     Conflict,
-    /// Nothing is claimed under the key.
+    /// There is no claim under the key.
     Free,
-    /// The claim was given back before it was opened; it stays closed.
+    /// The claim was released before it was opened, and can't be opened any more.
     Withdrawn,
 }
 
 /// Result of a command on a job.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum JobReply {
-    /// Stored, leased, ended or cancelled, as asked.
+    /// The job was stored, its lease was renewed or its end was recorded.
     Accepted,
-    /// There is no such job (any more).
+    /// There is no such job of the tenant, or it has expired.
     NotFound,
     /// The job is in a state in which the command does not apply.
     WrongState {
-        /// That state's name.
+        /// Name of the current state.
         state: String,
     },
     /// The deadline has passed.
     DeadlinePassed,
     /// The lease is granted; this is the work.
     Leased(JobWork),
-    /// The job as its tenant may see it.
+    /// The job as shown to its tenant.
     Found(JobView),
     /// The tenant's jobs, without answers.
     List(Vec<JobView>),
     /// The same job was submitted with another body.
     Conflict,
-    /// As many jobs of the deployment wait as may.
+    /// The deployment has the maximum number of queued jobs.
     QueueFull,
 }
 
-/// What an executor needs of a job.
+/// A leased job, as needed by its executor.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct JobWork {
     /// The tenant.
@@ -84,19 +84,19 @@
     pub path: String,
     /// The request body.
     pub body: Vec<u8>,
-    /// Class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// Whether it may run once only.
+    /// Whether it may run at most once.
     pub once_only: bool,
     /// When it was accepted.
     pub submitted_at: UnixMillis,
-    /// To be done by then.
+    /// Deadline.
     pub deadline: UnixMillis,
-    /// Committed time of the lease.
+    /// Committed time at which the lease was granted.
     pub now: UnixMillis,
 }
 
-/// A job as its tenant may see it.
+/// A job as shown to its tenant.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct JobView {
     /// The job.
@@ -105,11 +105,11 @@
     pub deployment: DeploymentName,
     /// Name of its state.
     pub state: String,
-    /// Whether it ran.
+    /// Whether it ran, as far as is known.
     pub outcome: Outcome,
     /// When it was accepted.
     pub submitted_at: UnixMillis,
-    /// To be done by then.
+    /// Deadline.
     pub deadline: UnixMillis,
     /// When it ended.
     pub ended_at: Option<UnixMillis>,
@@ -119,35 +119,35 @@
     pub answer: Option<StoredAnswer>,
 }
 
-/// Why a batch of documents was refused.
+/// Why a batch of documents was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum ConfigurationConflict {
-    /// The same version is there with other content.
+    /// The same version exists with other content.
     SameVersion {
         /// The document.
         document: DocumentKey,
         /// The version.
         version: Version,
-        /// Digest of the content that won.
+        /// Digest of the content that was accepted under the version.
         winner: Digest,
     },
-    /// A higher version is there.
+    /// A higher version was already accepted.
     LowerVersion {
         /// The document.
         document: DocumentKey,
         /// The current version.
         current: Version,
     },
-    /// The change identity was used with other content.
+    /// The change identifier was already used with other content.
     ChangeReused {
-        /// Revision that the first use got.
+        /// Revision of the batch that first used it.
         revision: Revision,
     },
-    /// A document is wrong in itself or does not fit the others.
+    /// A document is invalid, or inconsistent with the others.
     Invalid {
         /// The document.
         document: DocumentKey,
-        /// The faulty field.
+        /// The invalid field.
         field: String,
         /// What is wrong.
         problem: String,
@@ -159,19 +159,19 @@
     Debug, Clone, PartialEq, Eq, snafu::Snafu, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
 pub enum CommandError {
-    /// A batch of documents was refused.
+    /// A batch of documents was rejected.
     #[snafu(display("configuration refused: {conflict:?}"))]
     Configuration {
         /// Why.
         conflict: ConfigurationConflict,
     },
-    /// The runner is not known or not in service.
+    /// The runner is unknown or not in service.
     #[snafu(display("runner {runner} is not in service"))]
     RunnerNotLive {
         /// The runner.
         runner: RunnerId,
     },
-    /// The memory would be overcommitted.
+    /// The runner does not have enough free memory.
     #[snafu(display("runner {runner} has {free_mib} MiB free, {wanted_mib} MiB wanted"))]
     OutOfMemory {
         /// The runner.
@@ -181,7 +181,7 @@
         /// Wanted memory, in MiB.
         wanted_mib: u64,
     },
-    /// The deployment has all the replicas that its document allows.
+    /// The deployment has the maximum number of replicas of its document.
     #[snafu(display("deployment {deployment} has {limit} replicas, its maximum"))]
     ReplicaLimit {
         /// The deployment.
@@ -213,7 +213,7 @@
         /// The key.
         key: IdempotencyKey,
     },
-    /// The resend is so old that its answer is forgotten.
+    /// The command is a resend whose reply is no longer kept.
     #[snafu(display("the answer to this command is forgotten"))]
     AnswerForgotten,
 }
@@ -223,23 +223,23 @@
 pub enum CommandReply {
     /// The batch is accepted under this revision.
     Configured {
-        /// Revision of the batch; of the first answer for a resend.
+        /// Revision of the batch; for a resend, that of the original.
         revision: Revision,
     },
     /// A decision on a replica, with its fence.
     Placed {
-        /// Fence for orders.
+        /// Fence for orders on the replica.
         fence: Fence,
     },
     /// Result of a claim.
     Claim(ClaimReply),
     /// Result of a command on a job.
     Job(JobReply),
-    /// Done, nothing to say.
+    /// Applied; there is no further result.
     Done {
         /// Committed time.
         at: UnixMillis,
     },
-    /// No effect.
+    /// The command had no effect.
     Refused(CommandError),
 }
--- a/crates/state/src/services.rs
+++ b/crates/state/src/services.rs
@@ -1,46 +1,46 @@
-//! The service configuration in force, and instances that take no more work.
+//! The service configuration in force, and the instances that accept no new work.
 //!
-//! Invariant: the held number never falls, and the content under a number
-//! never changes once it is held.
+//! Invariant: the number of the stored document never decreases, and the
+//! document stored under a number never changes.
 
 use courseshunt_services::{InstanceView, QuarantinedContent};
 use courseshunt_types::{ControllerId, RunnerId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Leaving instances remembered at the most; the oldest are forgotten first.
+/// Maximum number of leaving instances that are kept; the oldest are dropped first.
 const MAX_LEAVING: usize = 1024;
 
-/// An instance that takes no more work.
+/// An instance that accepts no new work.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct LeavingInstance {
     /// The instance.
     pub instance: RunnerId,
-    /// Whether it has said that it ends.
+    /// Whether it has reported that it terminates.
     pub ended: bool,
 }
 
-/// See the module.
+/// The service configuration, and what is recorded about instances and requests.
 #[derive(Debug, Clone, PartialEq, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Services {
-    /// The operator's number; 0 before the first document.
+    /// The operator's number of the document; 0 before the first one.
     pub number: u64,
-    /// The document, in the operator's form.
+    /// The document as the operator sent it.
     pub document: Vec<u8>,
-    /// Instances that take no more work, in the order in which they said so.
+    /// Instances that accept no new work, in the order of their notices.
     pub leaving: VecDeque<LeavingInstance>,
-    /// Grows with each change of `leaving`.
+    /// Increases with each recorded notice of a leaving instance.
     pub leaving_version: u64,
-    /// Instances as the leader saw them last; a hint for its successor.
+    /// Instances as last recorded by a leader; a hint for its successor.
     pub instances: BTreeMap<RunnerId, InstanceView>,
-    /// The only member that may have given orders to instances since this was
-    /// recorded; `None` before the first order of all.
+    /// The only member that may have sent orders to instances since this was
+    /// recorded; `None` before the very first order.
     pub orders_holder: Option<ControllerId>,
-    /// Contents of requests that are sent to no instance.
+    /// Quarantined request contents, which are not sent to any instance.
     pub quarantined: Vec<QuarantinedContent>,
 }
 
 impl Services {
-    /// Takes a document over if its number is above the held one's.
+    /// Stores a document if its number is higher than that of the stored one.
     pub fn put(&mut self, number: u64, document: &[u8]) {
         if number > self.number {
             self.number = number;
@@ -48,11 +48,11 @@
         }
     }
 
-    /// Records that an instance takes no more work.
+    /// Records that an instance accepts no new work.
     pub fn record_leaving(&mut self, instance: &RunnerId, ended: bool) {
         self.leaving_version += 1;
-        let mut known = self.leaving.iter_mut();
-        if let Some(found) = known.find(|one| one.instance == *instance) {
+        let mut recorded = self.leaving.iter_mut();
+        if let Some(found) = recorded.find(|one| one.instance == *instance) {
             found.ended |= ended;
             return;
         }
@@ -65,7 +65,7 @@
         });
     }
 
-    /// Records instances as the leader sees them.
+    /// Records the leader's view of instances: new or changed ones, and those gone.
     pub fn record_instances(&mut self, changed: &[InstanceView], gone: &[RunnerId]) {
         for view in changed {
             self.instances.insert(view.id.clone(), view.clone());
@@ -75,10 +75,11 @@
         }
     }
 
-    /// Whether an instance has said that it takes no more work, or ends.
+    /// Whether it is recorded that an instance accepts no new work or, with
+    /// `ended`, that it terminates.
     #[must_use]
     pub fn is_recorded(&self, instance: &RunnerId, ended: bool) -> bool {
-        let mut known = self.leaving.iter();
-        known.any(|one| one.instance == *instance && (one.ended || !ended))
+        let mut recorded = self.leaving.iter();
+        recorded.any(|one| one.instance == *instance && (one.ended || !ended))
     }
 }
--- a/crates/state/src/session.rs
+++ b/crates/state/src/session.rs
@@ -1,10 +1,10 @@
-//! Duplicate detection: a resent command gets its first answer.
+//! Duplicate detection: a resent command gets the reply to the original.
 
 use crate::reply::CommandReply;
 use courseshunt_types::{ClientId, ClientSequence, Millis, UnixMillis};
 use std::collections::BTreeMap;
 
-/// Sessions idle for longer are forgotten.
+/// Time without commands after which a session is removed.
 pub const SESSION_LIFETIME: Millis = Millis::from_secs(24 * 3600);
 
 /// One client's session.
@@ -12,22 +12,22 @@
     Debug, Clone, PartialEq, Eq, Default, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize,
 )]
 pub struct Session {
-    /// Answers below this number are forgotten.
+    /// Replies to commands below this number are removed.
     pub acknowledged: ClientSequence,
-    /// Answers that the client may not have.
+    /// Replies that the client may not have received.
     pub replies: BTreeMap<ClientSequence, CommandReply>,
-    /// Last use.
+    /// Committed time of the last command.
     pub last_used: UnixMillis,
 }
 
-/// What is known about a command's number.
+/// Whether a command with a given sequence number was already applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SequenceStatus {
-    /// It is new.
+    /// It was not applied yet.
     New,
-    /// It was applied; this was the answer.
+    /// It was applied with this reply.
     Applied(CommandReply),
-    /// It was applied; the answer is forgotten.
+    /// It was applied; the reply is no longer kept.
     Forgotten,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl Sessions {
-    /// Looks a command's number up.
+    /// Looks up a command by client and sequence number.
     #[must_use]
     pub fn look_up(&self, client: &ClientId, sequence: ClientSequence) -> SequenceStatus {
         let Some(session) = self.sessions.get(client) else {
@@ -56,7 +56,7 @@
         SequenceStatus::New
     }
 
-    /// Remembers an answer and forgets the acknowledged ones.
+    /// Stores a reply and removes the acknowledged ones.
     pub fn record_reply(
         &mut self,
         client: &ClientId,
@@ -73,7 +73,7 @@
         session.last_used = now;
     }
 
-    /// Forgets idle sessions.
+    /// Removes sessions that were idle for [`SESSION_LIFETIME`].
     pub fn expire(&mut self, now: UnixMillis) {
         self.sessions
             .retain(|_, session| session.last_used + SESSION_LIFETIME > now);
--- a/crates/state/src/state.rs
+++ b/crates/state/src/state.rs
@@ -1,4 +1,4 @@
-//! The whole replicated state and the one way to change it.
+//! The complete replicated state; commands are the only way to change it.
 
 use crate::claims::{ClaimName, ClaimRecord, ClaimState, Claims, ExecutionName};
 use crate::command::{Command, CommandEnvelope};
@@ -23,21 +23,21 @@
     pub applied: LogIndex,
     /// Committed time: the highest wall clock in the log.
     pub time: UnixMillis,
-    /// Documents.
+    /// Accepted documents.
     pub configuration: Configuration,
     /// Runners and replicas.
     pub placement: Placement,
-    /// Entry that may have changed the placement last.
+    /// Last entry that may have changed the placement.
     pub placement_changed_at: LogIndex,
     /// Claims of once-only requests.
     pub claims: Claims,
     /// Deferred jobs.
     pub jobs: Jobs,
-    /// Planned stops.
+    /// Planned shutdowns.
     pub drains: Drains,
-    /// Duplicate detection.
+    /// Client sessions, for duplicate detection.
     pub sessions: Sessions,
-    /// Addresses of members that joined later.
+    /// Addresses of members that joined the running group.
     pub members: MemberAddresses,
     /// Service configuration and leaving instances.
     pub services: Services,
@@ -53,8 +53,8 @@
     ) -> CommandReply {
         self.applied = index;
         self.time = self.time.max(envelope.proposed_at);
-        let named = !envelope.client.as_str().is_empty();
-        if named {
+        let has_session = !envelope.client.as_str().is_empty();
+        if has_session {
             match self.sessions.look_up(&envelope.client, envelope.sequence) {
                 SequenceStatus::New => {}
                 SequenceStatus::Applied(reply) => return reply,
@@ -72,7 +72,7 @@
         }
         let outcome = self.apply_command(&envelope.command, fence);
         let reply = outcome.unwrap_or_else(CommandReply::Refused);
-        if named {
+        if has_session {
             self.sessions.record_reply(
                 &envelope.client,
                 envelope.sequence,
@@ -84,7 +84,7 @@
         reply
     }
 
-    /// Notes an entry without a command.
+    /// Records an entry without a command as applied.
     pub fn skip(&mut self, index: LogIndex) {
         self.applied = index;
     }
@@ -171,7 +171,7 @@
         Ok(())
     }
 
-    /// What documents must fit.
+    /// Limits of the fleet against which documents are validated.
     #[must_use]
     pub fn fleet_limits(&self) -> FleetLimits {
         let runners = self.placement.runners.values();
@@ -335,7 +335,7 @@
         CommandReply::Job(reply)
     }
 
-    /// When something expires next; an `AdvanceTime` is due then.
+    /// When the next record expires; an `AdvanceTime` command is due then.
     #[must_use]
     pub fn next_expiry(&self) -> Option<UnixMillis> {
         let times = [
--- a/crates/state/src/stored/mod.rs
+++ b/crates/state/src/stored/mod.rs
@@ -1,10 +1,11 @@
-//! The forms in which the state and its commands are stored.
+//! Stored forms of the state and of its commands.
 //!
-//! Invariant: what an earlier build stored is read, or refused with the form's number; it is
-//! never taken for something else. A snapshot begins with a mark and the number of its form, but
-//! for that of production's build, which is written for as long as it holds all that there is. A
-//! change of what the state holds takes the next number, and keeps the type of the form before
-//! to read that one. Commands carry no number: new ones go to the end of their list.
+//! Invariant: data stored by a previous build is either read correctly or refused with the number
+//! of its form; it is never misinterpreted. A snapshot begins with a mark and the number of its
+//! form. The exception is the form of the previous release, which has no mark and is written as
+//! long as it can represent the whole state. A change of the state's content takes the next form
+//! number and keeps the type of the form before it, to read that form. Commands have no form
+//! number: new ones are added at the end of the enum.
 
 mod previous_release;
 
@@ -14,19 +15,19 @@
 use rkyv::rancor;
 use rkyv::util::AlignedVec;
 
-/// How a snapshot begins. Nothing that was stored before forms were marked begins so: that
-/// begins with text, and no text holds the outer bytes.
+/// First bytes of a marked snapshot. Unmarked snapshots begin with text, and the first and last
+/// byte of the mark never occur in text, so the two are distinguishable.
 const MARK: [u8; 8] = *b"\xffcshunt\xfe";
-/// Snapshots without a mark: those of production's build, and a form in between, which
-/// holds the same as the present one.
+/// Snapshots without a mark: those of the previous release, and an intermediate form that has
+/// the same content as the current one.
 const UNMARKED: u32 = 0;
-/// The form that is written where the state holds what production's form has no place for.
-const PRESENT: u32 = 1;
+/// The form that is written when the form of the previous release can't represent the state.
+const CURRENT: u32 = 1;
 
 /// A snapshot or a command that can't be read.
 #[derive(Debug, snafu::Snafu)]
 pub enum SnapshotError {
-    /// The bytes are not what they should be.
+    /// The bytes are not a valid snapshot of their form.
     #[snafu(display("state: form {form} of the snapshot can't be read: {message}"))]
     Unreadable {
         /// Number of the form.
@@ -34,13 +35,13 @@
         /// What is wrong.
         message: String,
     },
-    /// A later build wrote it.
-    #[snafu(display("state: the snapshot has form {form}, this build reads up to {PRESENT}"))]
+    /// The snapshot was written by a later build.
+    #[snafu(display("state: the snapshot has form {form}, this build reads up to {CURRENT}"))]
     Newer {
         /// Number of the form.
         form: u32,
     },
-    /// The bytes are no command.
+    /// The bytes are not a valid command.
     #[snafu(display("state: the command can't be read: {message}"))]
     Command {
         /// What is wrong.
@@ -49,8 +50,8 @@
 }
 
 impl ReplicatedState {
-    /// The state as snapshot bytes: in production's form for as long as the state holds nothing
-    /// that this form has no place for, so that an operator can go back to that build.
+    /// Serialises the state as a snapshot. The form of the previous release is used as long as it
+    /// can represent the whole state, so that an operator can roll back to that release.
     #[must_use]
     pub fn to_snapshot(&self) -> Vec<u8> {
         if self.services.quarantined.is_empty() {
@@ -59,12 +60,13 @@
         let Ok(content) = rkyv::to_bytes::<rancor::Error>(self) else {
             return Vec::new();
         };
-        let form = PRESENT.to_le_bytes();
+        let form = CURRENT.to_le_bytes();
         [MARK.as_slice(), form.as_slice(), content.as_slice()].concat()
     }
 
-    /// The state as production's build keeps it, for a group in which one may have to read it.
-    /// What that build knows nothing of is left out: what is in quarantine.
+    /// Serialises the state in the form of the previous release, for a group in which a member of
+    /// that release may have to read it. The quarantine, which that release does not support, is
+    /// omitted.
     #[must_use]
     pub fn to_previous_release_snapshot(&self) -> Vec<u8> {
         let state = PreviousReleaseState::from(self.clone());
@@ -73,13 +75,13 @@
             .unwrap_or_default()
     }
 
-    /// The state from snapshot bytes.
+    /// Reads the state from a snapshot of any supported form.
     ///
     /// # Errors
-    /// When the bytes are no valid snapshot, or of a form that a later build wrote.
+    /// When the bytes are not a valid snapshot, or have the form of a later build.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let (form, content) = split(bytes);
-        if form > PRESENT {
+        if form > CURRENT {
             return NewerSnafu { form }.fail();
         }
         let read = rkyv::from_bytes::<Self, rancor::Error>(&aligned(content));
@@ -94,28 +96,30 @@
     }
 }
 
-/// The state out of a snapshot without a mark, of which `between` is what it is in the form in
-/// between. Which form it has shows by writing it again: only in its own form the same bytes come of it.
+/// Reads the state from a snapshot without a mark; `intermediate` is the result of reading it in
+/// the intermediate form. The form is identified by serialising the state again: only in the
+/// snapshot's own form this gives the same bytes.
 fn read_unmarked(
     content: &[u8],
-    between: Result<ReplicatedState, SnapshotError>,
+    intermediate: Result<ReplicatedState, SnapshotError>,
 ) -> Result<ReplicatedState, SnapshotError> {
-    let is_between = between.as_ref().is_ok_and(|state| {
-        let again = rkyv::to_bytes::<rancor::Error>(state);
-        again.is_ok_and(|again| again.as_slice() == content)
+    let is_intermediate = intermediate.as_ref().is_ok_and(|state| {
+        let written = rkyv::to_bytes::<rancor::Error>(state);
+        written.is_ok_and(|written| written.as_slice() == content)
     });
-    if is_between {
-        return between;
+    if is_intermediate {
+        return intermediate;
     }
-    let Ok(production) = rkyv::from_bytes::<PreviousReleaseState, rancor::Error>(&aligned(content))
+    let Ok(previous_release) =
+        rkyv::from_bytes::<PreviousReleaseState, rancor::Error>(&aligned(content))
     else {
-        return between;
+        return intermediate;
     };
-    let state = ReplicatedState::from(production);
+    let state = ReplicatedState::from(previous_release);
     match state.to_previous_release_snapshot() == content {
         true => Ok(state),
-        false => between.and_then(|_| {
-            let message = "it is none of the forms without a mark".to_owned();
+        false => intermediate.and_then(|_| {
+            let message = "it has none of the forms without a mark".to_owned();
             UnreadableSnafu {
                 form: UNMARKED,
                 message,
@@ -125,7 +129,7 @@
     }
 }
 
-/// The form of a snapshot, and its content.
+/// Splits a snapshot into the number of its form and its content.
 fn split(bytes: &[u8]) -> (u32, &[u8]) {
     let marked = bytes.strip_prefix(MARK.as_slice());
     let parts = marked.and_then(|rest| rest.split_first_chunk());
@@ -136,7 +140,7 @@
 }
 
 impl CommandEnvelope {
-    /// The envelope as the payload of a log entry.
+    /// Serialises the envelope as the payload of a log entry.
     #[must_use]
     pub fn to_payload(&self) -> Vec<u8> {
         rkyv::to_bytes::<rancor::Error>(self)
@@ -144,10 +148,10 @@
             .unwrap_or_default()
     }
 
-    /// The envelope from the payload of a log entry.
+    /// Reads the envelope from the payload of a log entry.
     ///
     /// # Errors
-    /// When the bytes are no valid command.
+    /// When the bytes are not a valid command.
     pub fn from_payload(bytes: &[u8]) -> Result<Self, SnapshotError> {
         rkyv::from_bytes::<Self, rancor::Error>(&aligned(bytes)).map_err(|error| {
             let message = error.to_string();
--- a/crates/state/src/stored/previous_release.rs
+++ b/crates/state/src/stored/previous_release.rs
@@ -1,6 +1,7 @@
-//! The form in which production's build keeps the state, as it is on disk: never changed.
+//! The form in which the previous release stores the state on disk.
 //!
-//! Types that have not changed since are the present ones.
+//! Invariant: the form never changes. Types that are unchanged since that release are shared with
+//! the current form.
 
 use crate::claims::Claims;
 use crate::configuration::Configuration;
@@ -15,7 +16,7 @@
 use courseshunt_types::{ControllerId, LogIndex, RunnerId, UnixMillis};
 use std::collections::{BTreeMap, VecDeque};
 
-/// See [`ReplicatedState`].
+/// [`ReplicatedState`] as stored by the previous release.
 #[derive(rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub(super) struct PreviousReleaseState {
     applied: LogIndex,
@@ -31,7 +32,7 @@
     services: PreviousReleaseServices,
 }
 
-/// See [`Services`]; nothing is in quarantine.
+/// [`Services`] as stored by the previous release, which has no quarantine.
 #[derive(rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 struct PreviousReleaseServices {
     number: u64,
