--- a/crates/consensus/src/core/follower.rs
+++ b/crates/consensus/src/core/follower.rs
@@ -50,8 +50,8 @@
         let through = LogIndex(previous_index.0 + entries.len() as u64);
         self.append_entries(entries);
         self.verified = self.verified.max(through);
-        let known = self.verified.min(self.log.last_index());
-        self.commit_to(commit.min(known));
+        let matching = self.verified.min(self.log.last_index());
+        self.commit_to(commit.min(matching));
         self.acknowledge_entries(from);
     }
 
--- a/crates/state/examples/snapshot_costs.rs
+++ b/crates/state/examples/snapshot_costs.rs
@@ -1,6 +1,6 @@
-//! Prints what a snapshot of the state costs that holds 3,000, 10,000 and 20,000 instances:
-//! `cargo run --release -p courseshunt-state --example snapshot_costs`. Milliseconds on one
-//! whole core, the median of several runs.
+//! Prints the cost of a snapshot of a state with 3,000, 10,000 and 20,000 instances:
+//! `cargo run --release -p courseshunt-state --example snapshot_costs`. Times are in milliseconds
+//! on one core without other load, the median of several runs.
 
 use courseshunt_services::{InstanceState, InstanceView, ResidentModel};
 use courseshunt_state::{Command, CommandEnvelope, ReplicatedState};
@@ -9,6 +9,7 @@
 };
 use std::time::Instant;
 
+/// Numbers of instances.
 const SIZES: [u32; 3] = [3_000, 10_000, 20_000];
 const MODELS: u32 = 299;
 const RUNS: usize = 7;
@@ -53,14 +54,15 @@
     state
 }
 
+/// Median duration of `work`, in milliseconds.
 fn median<T>(work: impl Fn() -> T) -> f64 {
     let mut times: Vec<f64> = (0..RUNS)
         .map(|_| {
-            let began = Instant::now();
-            let made = work();
-            let took = began.elapsed().as_secs_f64() * 1_000.0;
-            drop(made);
-            took
+            let started = Instant::now();
+            let result = work();
+            let duration_ms = started.elapsed().as_secs_f64() * 1_000.0;
+            drop(result);
+            duration_ms
         })
         .collect();
     times.sort_by(f64::total_cmp);
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -388,9 +388,9 @@
     match state {
         JobState::Leased {
             router: holder,
-            incarnation: held,
+            incarnation: lease_incarnation,
             ..
-        } => holder == router && *held == incarnation,
+        } => holder == router && *lease_incarnation == incarnation,
         _ => false,
     }
 }
--- a/crates/state/tests/commands.rs
+++ b/crates/state/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Contract of the replicated state: versions, reservations, claims, jobs.
+//! Replicated state: versions, reservations, claims, jobs and resends.
 
 use courseshunt_state::command::JobEnd;
 use courseshunt_state::*;
@@ -102,20 +102,20 @@
 }
 
 #[test]
-fn versions_never_go_back() {
+fn versions_never_decrease() {
     let mut log = Log::new();
     let first = CommandReply::Configured {
         revision: Revision(1),
     };
     assert_eq!(log.configure("a", 1, 50), first);
-    // The same content again, with and without the same change identity.
+    // The same content again, with the same and with another change identifier.
     assert_eq!(log.configure("a", 1, 50), first);
     assert_eq!(log.configure("b", 1, 50), first);
     let second = CommandReply::Configured {
         revision: Revision(2),
     };
     assert_eq!(log.configure("c", 2, 60), second);
-    // A resend after a newer version gets its first answer and reverts nothing.
+    // A resend after a newer version gets the original reply and reverts nothing.
     assert_eq!(log.configure("a", 1, 50), first);
     let stored = &log.state.configuration.deployments[&"agro-llm".into()];
     assert_eq!(stored.document.version, Version(2));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn memory_and_replica_limits_hold() {
+fn memory_and_replica_limits_are_enforced() {
     let mut log = Log::new();
     log.configure("a", 1, 50);
     for runner in ["r1", "r2", "r3"] {
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_reservation_ends_only_by_release_or_incarnation() {
+fn a_reservation_ends_only_by_release_or_a_new_incarnation() {
     let mut log = Log::new();
     log.configure("a", 1, 50);
     log.runner("r1", 1);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_resend_gets_its_first_answer_and_a_snapshot_keeps_all() {
+fn a_resend_gets_the_original_reply_and_a_snapshot_is_complete() {
     let mut log = Log::new();
     log.configure("a", 1, 50);
     log.runner("r1", 1);
--- a/crates/state/tests/configuration.rs
+++ b/crates/state/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Contract of the configuration: versions, change identities, whole batches,
-//! refusals that name document, field and reason.
+//! Configuration: versions, change identifiers, atomic batches, and rejections with document,
+//! field and reason.
 
 use courseshunt_state::configuration::{MAX_HISTORY, MAX_HISTORY_DOCUMENTS};
 use courseshunt_state::*;
@@ -64,7 +64,7 @@
     match configuration.change(request, &limits, UnixMillis(1)) {
         Ok(revision) => format!("revision {revision}"),
         Err(conflict) => {
-            assert_eq!(*configuration, before, "a refused batch leaves nothing");
+            assert_eq!(*configuration, before, "a rejected batch changes nothing");
             describe(&conflict)
         }
     }
@@ -92,9 +92,9 @@
     }
 }
 
-/// One request after the other, with the expected answers.
+/// A sequence of requests with the expected results.
 #[test]
-fn versions_and_change_identities() {
+fn versions_and_change_identifiers() {
     let first = deployment("a", 1, 10);
     let winner = &first.digest().to_string()[..8];
     let deployments = DocumentKind::Deployment;
@@ -135,27 +135,27 @@
             "revision 1".to_owned(),
         ),
         (
-            "the same without its identity",
+            "the same without its change identifier",
             batch("", vec![first.clone()]),
             "deployment a: at 3".to_owned(),
         ),
         (
-            "identity with other content",
+            "change identifier with other content",
             batch("c1", vec![deployment("a", 4, 10)]),
             "used for 1".to_owned(),
         ),
         (
-            "one new, one lower: nothing is taken",
+            "one new, one lower: nothing is accepted",
             batch("c6", vec![deployment("b", 1, 10), deployment("a", 2, 10)]),
             "deployment a: at 3".to_owned(),
         ),
         (
-            "one new, one as it is",
+            "one new, one unchanged",
             batch("c7", vec![deployment("b", 1, 10), deployment("a", 3, 12)]),
             "revision 3".to_owned(),
         ),
         (
-            "unchanged documents get their newest first answer",
+            "unchanged documents get the newest revision that set them",
             batch("c8", vec![deployment("b", 1, 10), deployment("a", 3, 12)]),
             "revision 3".to_owned(),
         ),
@@ -185,7 +185,7 @@
             "revision 2".to_owned(),
         ),
         (
-            "back under a higher version",
+            "added again under a higher version",
             batch("c13", vec![deployment("a", 5, 12)]),
             "revision 5".to_owned(),
         ),
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn what_cannot_hold_is_refused_with_field_and_reason() {
+fn invalid_batches_are_rejected_with_field_and_reason() {
     let mut configuration = Configuration::default();
     let mut start = batch("start", vec![deployment("kept", 1, 10)]);
     start.tenants = vec![tenant(1, &["t"])];
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn tenants_follow_the_same_rules() {
+fn tenant_versions_follow_the_same_rules() {
     let mut configuration = Configuration::default();
     let request = |change_id: &str, version, tokens: &[&str]| ChangeRequest {
         change_id: change_id.into(),
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn the_history_names_who_and_when_and_stays_bounded() {
+fn the_history_contains_operator_and_time_and_is_bounded() {
     let mut configuration = Configuration::default();
     let names = 0..MAX_HISTORY_DOCUMENTS + 8;
     let documents = names.map(|number| deployment(&format!("d{number}"), 1, 10));
@@ -309,7 +309,7 @@
         changed.unwrap();
     }
     assert_eq!(configuration.history.len(), MAX_HISTORY);
-    // The first change is forgotten; its versions still keep it from reverting.
+    // The first change is no longer in the history, but its versions still prevent a revert.
     let current = MAX_HISTORY + 2;
     assert_eq!(
         apply(&mut configuration, &request),
--- a/crates/state/tests/configuration_properties.rs
+++ b/crates/state/tests/configuration_properties.rs
@@ -1,6 +1,6 @@
-//! Over any sequence of batches and resends: versions never go down, a revision
-//! is given once, a resend gets its first answer, a refused batch changes
-//! nothing.
+//! For any sequence of batches and resends: versions never decrease, a revision
+//! is assigned once, a resend gets the original revision, and a rejected batch
+//! changes nothing.
 
 use courseshunt_state::*;
 use courseshunt_types::*;
@@ -9,7 +9,7 @@
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-/// One change of one document.
+/// A change of one document.
 #[derive(Debug, Clone)]
 enum Item {
     Set {
@@ -66,43 +66,43 @@
 }
 
 fn versions(configuration: &Configuration) -> BTreeMap<&'static str, Version> {
-    let known = NAMES.into_iter().filter_map(|name| {
+    let stored = NAMES.into_iter().filter_map(|name| {
         let key = DocumentKey::deployment(&name.into());
         Some((name, configuration.current(&key)?.version))
     });
-    known.collect()
+    stored.collect()
 }
 
 proptest! {
     #[test]
-    fn nothing_reverts(
+    fn versions_never_decrease_over_resends(
         batches in prop::collection::vec(prop::collection::vec(item(), 1..3), 1..20),
         order in prop::collection::vec(any::<prop::sample::Index>(), 1..40),
     ) {
         let limits = FleetLimits::default();
         let mut configuration = Configuration::default();
-        let mut first_answers: BTreeMap<usize, Revision> = BTreeMap::new();
-        // The order names each batch any number of times: resends, late ones too.
+        let mut first_revisions: BTreeMap<usize, Revision> = BTreeMap::new();
+        // The order contains each batch any number of times, so resends may also come late.
         for index in order {
             let change = index.index(batches.len());
             let request = request(change, &batches[change]);
             let before = configuration.clone();
-            let answer = configuration.change(&request, &limits, UnixMillis(1));
+            let result = configuration.change(&request, &limits, UnixMillis(1));
             for (name, version) in versions(&before) {
                 prop_assert!(versions(&configuration)[name] >= version);
             }
-            match answer {
+            match result {
                 Err(_) => {
                     prop_assert_eq!(&configuration, &before);
-                    prop_assert!(!first_answers.contains_key(&change));
+                    prop_assert!(!first_revisions.contains_key(&change));
                 }
                 Ok(revision) if configuration.revision > before.revision => {
                     prop_assert_eq!(revision, before.revision.next());
-                    prop_assert!(first_answers.insert(change, revision).is_none());
+                    prop_assert!(first_revisions.insert(change, revision).is_none());
                 }
                 Ok(revision) => {
                     prop_assert_eq!(&configuration, &before);
-                    let first = first_answers.get(&change).copied();
+                    let first = first_revisions.get(&change).copied();
                     prop_assert!(first.is_none_or(|first| first == revision));
                 }
             }
--- a/crates/state/tests/ledger.rs
+++ b/crates/state/tests/ledger.rs
@@ -1,10 +1,11 @@
-//! Contract of claims and jobs: every end, in tables.
+//! Claims and jobs: every way in which they end, as tables of cases.
 
 use courseshunt_state::command::JobEnd;
 use courseshunt_state::*;
 use courseshunt_types::*;
 
-/// A log whose time moves only by [`Ledger::wait`].
+/// A replicated state whose time advances only by [`Ledger::wait`]. Each command also checks that
+/// the state survives a snapshot.
 struct Ledger {
     state: ReplicatedState,
     index: u64,
@@ -156,12 +157,12 @@
 }
 
 #[test]
-fn a_claim_given_back_before_it_was_opened_stays_closed() {
+fn a_claim_released_before_it_was_opened_is_never_granted() {
     let mut ledger = Ledger::default();
     ledger.release("late");
     assert_eq!(ledger.open("late", b"x"), ClaimReply::Withdrawn);
     assert_eq!(ledger.open("next", b"x"), ClaimReply::Granted);
-    // The late release of another execution leaves the open claim alone.
+    // A late release of another execution does not affect the open claim.
     ledger.release("late");
     assert!(matches!(
         ledger.open("third", b"x"),
@@ -181,7 +182,7 @@
     assert_eq!(ledger.open("second", b"x"), ClaimReply::Unknown);
     let ended = ledger.release("first");
     assert!(matches!(ended, CommandReply::Refused(_)), "{ended:?}");
-    // An answer that was found after all replaces `Unknown`.
+    // An answer that arrives later replaces `Unknown`.
     ledger.finish("first", Some(answer()));
     assert_eq!(ledger.open("second", b"x"), ClaimReply::Recorded(answer()));
     assert_eq!(ledger.open("second", b"y"), ClaimReply::Conflict);
@@ -193,7 +194,7 @@
 }
 
 #[test]
-fn every_job_ends_visibly() {
+fn every_job_ends_in_a_visible_state() {
     type Step = fn(&mut Ledger);
     let cases: &[(&str, bool, Step, &str, Outcome)] = &[
         (
@@ -244,7 +245,7 @@
             Outcome::Unknown,
         ),
         (
-            "lost executor answers late, once only",
+            "late answer of a lost executor, once only",
             true,
             |ledger| {
                 ledger.lease("j", "a");
@@ -255,7 +256,7 @@
             Outcome::Done,
         ),
         (
-            "a renewed lease holds",
+            "a renewed lease is valid",
             false,
             |ledger| {
                 ledger.lease("j", "a");
@@ -284,7 +285,7 @@
             Outcome::Unknown,
         ),
         (
-            "the second executor's answer counts",
+            "only the second executor's answer is accepted",
             false,
             |ledger| {
                 ledger.lease("j", "a");
@@ -342,7 +343,7 @@
 }
 
 #[test]
-fn jobs_are_bounded_recognised_and_forgotten() {
+fn queued_jobs_are_bounded_resends_detected_and_ended_jobs_expire() {
     let mut ledger = Ledger::default();
     assert_eq!(
         ledger.submit("j", false),
--- a/crates/state/tests/services.rs
+++ b/crates/state/tests/services.rs
@@ -1,4 +1,4 @@
-//! The service configuration and the instances in the replicated state.
+//! Service configuration, instances and quarantine in the replicated state.
 
 use courseshunt_services::{InstanceState, InstanceView, QuarantinedContent};
 use courseshunt_state::{Command, CommandEnvelope, ReplicatedState};
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_highest_number_prevails_and_its_content_never_changes() {
+fn only_a_higher_number_replaces_the_service_configuration() {
     let mut state = ReplicatedState::default();
     let cases = [
         (5, "five", 5, "five"),
@@ -46,15 +46,15 @@
         (9, "nine", 9, "nine"),
         (5, "five", 9, "nine"),
     ];
-    for (number, document, held, content) in cases {
+    for (number, document, stored, content) in cases {
         put(&mut state, number, document);
-        assert_eq!(state.services.number, held, "after {number} {document}");
+        assert_eq!(state.services.number, stored, "after {number} {document}");
         assert_eq!(state.services.document, content.as_bytes());
     }
 }
 
 #[test]
-fn leaving_instances_are_remembered_in_bounds() {
+fn the_number_of_recorded_leaving_instances_is_bounded() {
     let mut state = ReplicatedState::default();
     let leave = |state: &mut ReplicatedState, id: &str, ended| {
         let instance = RunnerId::from(id);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn the_holder_of_orders_survives_a_snapshot() {
+fn the_orders_holder_survives_a_snapshot() {
     let mut state = ReplicatedState::default();
     assert_eq!(state.services.orders_holder, None);
     for number in [7, 9] {
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_quarantine_is_replaced_whole_and_survives_a_snapshot() {
+fn the_quarantine_is_replaced_completely_and_survives_a_snapshot() {
     let mut state = ReplicatedState::default();
     let record = |text: &str, times| QuarantinedContent {
         content: Digest::of(text.as_bytes()),
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,4 +1,4 @@
-//! Storage errors, which name the step and the file.
+//! Storage errors, with the operation and the file.
 
 use std::io;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
     /// An operation on a file failed.
     #[snafu(display("storage: {step} {}: {source}", path.display()))]
     File {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
         /// The file.
         path: PathBuf,
@@ -22,36 +22,39 @@
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Where, in bytes.
+        /// Offset of the damage, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Description of the damage.
         problem: String,
     },
-    /// The folder belongs to another member.
-    #[snafu(display("storage: {} belongs to member {found}, not to {expected}; a member never takes another's place", path.display()))]
+    /// The folder contains the data of another member.
+    #[snafu(display("storage: {} belongs to member {found}, not to {expected}; a member must not start with the data of another member", path.display()))]
     WrongIdentity {
         /// The identity file.
         path: PathBuf,
-        /// Identity in the file.
+        /// Member identifier in the file.
         found: String,
-        /// Identity in the settings.
+        /// Member identifier in the settings.
         expected: u64,
     },
-    /// The folder is empty, but the member was not told to found a group.
-    #[snafu(display("storage: {} holds no identity: member {expected} lost its disk, or was never started; a machine whose disk was lost joins under a new id; only the first voters of a new group start with `new_group`", path.display()))]
+    /// The folder has no identity file, and the member does not found a group or join with a new
+    /// identifier.
+    #[snafu(display("storage: {} contains no identity: member {expected} lost its disk, or was never started; a machine whose disk was lost joins under a new id; only the first voters of a new group start with `new_group`", path.display()))]
     NoIdentity {
         /// The identity file.
         path: PathBuf,
-        /// Identity in the settings.
+        /// Member identifier in the settings.
         expected: u64,
     },
     /// An earlier error left the store unusable until it is opened again.
-    #[snafu(display("storage: refused after an earlier error"))]
+    #[snafu(display(
+        "storage: operation refused because an earlier write or sync failed; the store must be opened again"
+    ))]
     Failed,
 }
 
 impl StorageError {
-    /// Whether the same call may succeed later (a full disk).
+    /// Whether the same call may succeed later, because the disk is full.
     #[must_use]
     pub fn is_temporary(&self) -> bool {
         match self {
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,16 +1,16 @@
-//! The few file operations that the store needs, so that simulations can put
-//! a faulty disk below the same code.
+//! The file operations that the store needs, as a trait, so that simulations
+//! can run the same code on a faulty disk.
 
-use crate::sync_times::timed;
+use crate::sync_times::observe_sync;
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files. What was written lasts once the file (or, for new names,
-/// the folder) is synced.
+/// A folder of files. Written data is durable once the file is synced; new,
+/// renamed and removed names are durable once the folder is synced.
 pub trait Folder: Send {
-    /// Path of the folder, for messages.
+    /// Path of the folder, for error messages.
     fn path(&self) -> PathBuf;
 
     /// Names of all files, sorted.
@@ -22,48 +22,48 @@
     /// Content of a file.
     ///
     /// # Errors
-    /// When there is no such file or it can't be read.
+    /// When the file does not exist or can't be read.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Appends to a file, which is made when missing. On an error a part may
-    /// have been written.
+    /// Appends to a file, which is created if it does not exist. After an error,
+    /// part of the bytes may have been written.
     ///
     /// # Errors
-    /// When writing fails, such as on a full disk.
+    /// When writing fails, for example on a full disk.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts a file to `length` bytes.
+    /// Truncates a file to `length` bytes.
     ///
     /// # Errors
-    /// When that fails.
+    /// When the file can't be truncated.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
     /// Makes the content of a file durable.
     ///
     /// # Errors
-    /// When that fails; what was written since the last sync may be lost.
+    /// When the sync fails; data written since the last sync may be lost.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Gives a file another name, in place of a file that has it.
+    /// Renames a file, and replaces any file of the new name.
     ///
     /// # Errors
-    /// When that fails.
+    /// When the file can't be renamed.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// When that fails.
+    /// When the file can't be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
     /// Makes new, renamed and removed names durable.
     ///
     /// # Errors
-    /// When that fails.
+    /// When the sync fails.
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the file system.
+/// A folder of the file system, which keeps written files open.
 #[derive(Debug)]
 pub struct RealFolder {
     path: PathBuf,
@@ -128,7 +128,7 @@
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let file = self.file(name)?;
-        timed(|| file.sync_data())
+        observe_sync(|| file.sync_data())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -1,18 +1,18 @@
 //! Frames in a file: magic (4 bytes), length (4), CRC-32 (4), content.
 //!
-//! Each frame of a log segment is written only after the one before it is
-//! durable. So a faulty frame with a whole one behind it is damage, and a
-//! faulty frame with none behind it is a write that was under way (a torn
-//! tail), which nobody relies on.
+//! Invariant: each frame of a log segment is written only after the one before
+//! it is durable. An invalid frame followed by a valid one is therefore damage.
+//! An invalid frame without a valid one after it is a write that was in progress
+//! (a torn tail) and was never reported as durable.
 
 use crate::error::StorageError;
 use std::path::Path;
 
 const MAGIC: [u8; 4] = *b"CSL1";
-/// Bytes before the content of a frame.
+/// Size of the header before the content of a frame, in bytes.
 pub(crate) const HEADER_BYTES: usize = 12;
 
-/// Appends a frame with `content` to `buffer`.
+/// Appends a frame with the given content to `buffer`.
 pub(crate) fn encode(content: &[u8], buffer: &mut Vec<u8>) {
     let length = u32::try_from(content.len()).unwrap_or(u32::MAX);
     buffer.extend_from_slice(&MAGIC);
@@ -21,10 +21,10 @@
     buffer.extend_from_slice(content);
 }
 
-/// Contents of the whole frames of a file, and how many bytes they take.
+/// Contents of the valid frames of a file, and their total size.
 pub(crate) struct Frames<'a> {
     pub(crate) contents: Vec<&'a [u8]>,
-    /// Bytes of whole frames; a torn tail follows when the file is longer.
+    /// Size of the valid frames, in bytes; a torn tail follows if the file is longer.
     pub(crate) valid_bytes: usize,
 }
 
@@ -36,12 +36,12 @@
         contents.push(content);
         offset += HEADER_BYTES + content.len();
     }
-    let whole_behind = (offset + 1..bytes.len()).find(|later| frame_at(bytes, *later).is_some());
-    match whole_behind {
+    let valid_after = (offset + 1..bytes.len()).find(|later| frame_at(bytes, *later).is_some());
+    match valid_after {
         Some(later) => Err(StorageError::Damaged {
             path: path.to_owned(),
             offset: offset as u64,
-            problem: format!("a faulty record lies before a whole one at offset {later}"),
+            problem: format!("an invalid frame is followed by a valid one at offset {later}"),
         }),
         None => Ok(Frames {
             contents,
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,7 +1,8 @@
-//! The identity file: binds a data folder to one member.
+//! The identity file, which binds a data folder to one member.
 //!
-//! Invariant: a member votes only with the disk that holds its earlier votes
-//! and entries. A disk that lost them starts only under a new identity.
+//! Invariant: a member votes only with the data folder that contains its
+//! earlier votes and entries. If these are lost, the machine starts only under a
+//! new member identifier.
 
 use crate::error::{FileSnafu, StorageError};
 use crate::small_file;
@@ -9,20 +10,21 @@
 use snafu::ResultExt;
 use std::path::Path;
 
-/// Name of the file in the data folder.
+/// Name of the identity file in the data folder.
 const FILE: &str = "identity";
 
-/// Checks that the folder belongs to `member`. An empty folder is taken into
-/// possession when `may_begin`: by a member that founds a group, or one that
-/// joins under an identity which has never voted.
+/// Checks that the folder belongs to `member`. If the folder has no identity
+/// file and `allow_new` is set, it is assigned to the member. Set `allow_new`
+/// only for a member that founds a group, or that joins under an identifier
+/// which has never voted.
 ///
 /// # Errors
-/// When the folder belongs to another member, is empty and may not begin, or
-/// can't be read or written.
+/// When the folder belongs to another member, has no identity file without
+/// `allow_new`, or can't be read or written.
 pub fn claim_folder(
     folder: &Path,
     member: ControllerId,
-    may_begin: bool,
+    allow_new: bool,
 ) -> Result<(), StorageError> {
     let path = folder.join(FILE);
     match std::fs::read_to_string(&path) {
@@ -32,7 +34,7 @@
             found: found.trim().to_owned(),
             expected: member.0,
         }),
-        Err(error) if error.kind() == std::io::ErrorKind::NotFound && may_begin => {
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound && allow_new => {
             let content = format!("{member}\n");
             small_file::replace(folder, FILE, content.as_bytes()).context(FileSnafu {
                 step: "write identity",
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,9 +1,9 @@
 //! Durable log segments, hard state and snapshots.
 //!
-//! Invariant: what [`LogStore::append`] took in survives once
-//! [`LogStore::sync`] returned without error, and is given back unchanged by
-//! the next opening. A torn tail is dropped; damage before it is an error that
-//! names file and offset.
+//! Invariant: data passed to [`LogStore::append`] is durable once
+//! [`LogStore::sync`] has returned without error, and is recovered unchanged
+//! when the store is opened again. A torn tail is dropped; damage before it is
+//! an error with file and offset.
 
 pub mod error;
 pub mod folder;
@@ -25,15 +25,16 @@
 
 use courseshunt_consensus::{Entry, HardState, Recovered, SnapshotMetadata};
 
-/// The durable side of the consensus core, for one group of one member.
+/// Durable storage of the consensus core, for one member of one group.
 pub trait LogStore: Send {
-    /// What was durable at the opening, with the bytes of the latest snapshot.
+    /// The state that was durable when the store was opened, with the bytes of the
+    /// latest snapshot.
     ///
     /// # Errors
     /// When the store is damaged or can't be read.
     fn recover(&mut self) -> Result<RecoveredLog, StorageError>;
 
-    /// Takes new hard state and entries in. An entry at a stored index replaces
+    /// Appends new hard state and entries. An entry at a stored index replaces
     /// that entry and everything after it. Durable only after [`Self::sync`].
     ///
     /// # Errors
@@ -44,21 +45,21 @@
         entries: &[Entry],
     ) -> Result<(), StorageError>;
 
-    /// Makes everything taken in durable, with one sync.
+    /// Makes everything that was appended durable, with one sync.
     ///
     /// # Errors
     /// When the error [is temporary](StorageError::is_temporary) the same call
-    /// may be tried again; nothing is lost. After any other error the store
-    /// refuses everything until it is opened again, and what was taken in since
-    /// the last sync may be lost.
+    /// may be retried; nothing is lost. After any other error the store refuses
+    /// all operations until it is opened again, and what was appended since the
+    /// last sync may be lost.
     fn sync(&mut self) -> Result<(), StorageError>;
 
-    /// Makes a snapshot durable and drops the log before its last index. Later
-    /// entries stay only when the log holds the snapshot's last entry. A
-    /// snapshot older than the stored one changes nothing.
+    /// Makes a snapshot durable and removes the log up to its last index. Later
+    /// entries stay only if the log contains the snapshot's last entry. A snapshot
+    /// that is not newer than the stored one has no effect.
     ///
     /// # Errors
-    /// When writing or syncing fails; the earlier snapshot then stays.
+    /// When writing or syncing fails; the previous snapshot then stays.
     fn save_snapshot(
         &mut self,
         metadata: &SnapshotMetadata,
@@ -66,7 +67,7 @@
     ) -> Result<(), StorageError>;
 }
 
-/// What a store held at the opening.
+/// Contents of a store when it was opened.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RecoveredLog {
     /// Input for the consensus core.
--- a/crates/storage/src/memory_log.rs
+++ b/crates/storage/src/memory_log.rs
@@ -1,10 +1,10 @@
-//! A store in memory, for tests and simulation: unsynced data is lost by
-//! [`MemoryLog::crash`].
+//! An in-memory store for tests and simulations. [`MemoryLog::crash`] discards
+//! unsynced data.
 
 use crate::{LogStore, RecoveredLog, StorageError};
 use courseshunt_consensus::{Entry, HardState, SnapshotMetadata};
 
-/// See the module.
+/// In-memory log store with a durable and a volatile copy.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryLog {
     durable: RecoveredLog,
@@ -12,7 +12,7 @@
 }
 
 impl MemoryLog {
-    /// Loses everything that was not synced.
+    /// Discards everything that was not synced.
     pub fn crash(&mut self) {
         self.volatile = self.durable.clone();
     }
@@ -51,8 +51,8 @@
         if metadata.last_index <= core.snapshot.last_index {
             return Ok(());
         }
-        let at_end = |entry: &Entry| entry.index == metadata.last_index;
-        let last = core.entries.iter().find(|entry| at_end(entry));
+        let is_last_included = |entry: &Entry| entry.index == metadata.last_index;
+        let last = core.entries.iter().find(|entry| is_last_included(entry));
         if last.is_none_or(|entry| entry.term != metadata.last_term) {
             core.entries.clear();
         }
@@ -64,7 +64,7 @@
     }
 }
 
-/// Appends `entry`, replacing the one at its index and all after it.
+/// Appends `entry`, which replaces the entry at its index and all after it.
 pub(crate) fn push(entries: &mut Vec<Entry>, entry: Entry) {
     while entries.last().is_some_and(|last| last.index >= entry.index) {
         entries.pop();
--- a/crates/storage/src/replay.rs
+++ b/crates/storage/src/replay.rs
@@ -1,10 +1,10 @@
-//! Replays the records of the log over the latest snapshot.
+//! Recovery of the log from its records and the latest snapshot.
 
 use crate::memory_log::push;
 use crate::record::Record;
 use courseshunt_consensus::{Entry, Recovered, SnapshotMetadata};
 
-/// The state that the records leave, or what is wrong with them.
+/// Replays the records; returns the recovered state, or a description of the damage.
 pub(crate) fn replay(
     records: Vec<Record>,
     snapshot: &SnapshotMetadata,
@@ -26,13 +26,13 @@
     Ok(recovered)
 }
 
-/// Entries that go on after the snapshot. A log that holds another entry where
-/// the snapshot ends was replaced by it as a whole.
+/// Entries after the snapshot. If the log has an entry of another term at the
+/// last index of the snapshot, the snapshot replaced the whole log.
 fn after_snapshot(entries: Vec<Entry>, snapshot: &SnapshotMetadata) -> Vec<Entry> {
-    let mut at_end = entries
+    let mut last_included = entries
         .iter()
         .filter(|entry| entry.index == snapshot.last_index);
-    let replaced = at_end.any(|entry| entry.term != snapshot.last_term);
+    let replaced = last_included.any(|entry| entry.term != snapshot.last_term);
     if replaced {
         return Vec::new();
     }
--- a/crates/storage/src/segment_log.rs
+++ b/crates/storage/src/segment_log.rs
@@ -1,9 +1,10 @@
-//! The store in files: log segments and snapshots in one folder.
+//! File-based store: log segments and snapshots in one folder.
 //!
-//! Invariant: a name of a segment or snapshot that is durable has its whole
-//! earlier content durable. Each sync writes one frame; a frame is written only
-//! after the one before is durable. Hard state begins every segment, so that
-//! old segments can go. What a start finds is durable before it is recovered.
+//! Invariant: when the name of a segment or snapshot is durable, so is the
+//! content that was written to it before. Each sync writes one frame, and a frame
+//! is written only after the one before it is durable. Every segment begins with the hard state, so that old segments can
+//! be removed. Data found when the store is opened is made durable before it is
+//! recovered.
 
 use crate::error::{FileSnafu, StorageError};
 use crate::folder::{Folder, RealFolder};
@@ -21,14 +22,14 @@
 
 const SEGMENT_PREFIX: &str = "segment-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
-const TEMPORARY: &str = "snapshot.tmp";
-/// Length from which a segment is closed, in bytes.
+const TEMPORARY_SNAPSHOT: &str = "snapshot.tmp";
+/// Size from which a segment is closed, in bytes.
 const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
 
 /// The store on the file system.
 pub type FileLog = SegmentLog<RealFolder>;
 
-/// See the module.
+/// Log store of segments and snapshots in a [`Folder`].
 #[derive(Debug)]
 pub struct SegmentLog<F> {
     folder: F,
@@ -86,7 +87,7 @@
             recovered: None,
             failed: false,
         };
-        log.read_all()?;
+        log.load()?;
         Ok(log)
     }
 
@@ -95,12 +96,12 @@
         &mut self.folder
     }
 
-    /// Gives the folder back.
+    /// Closes the store and returns its folder.
     pub fn into_folder(self) -> F {
         self.folder
     }
 
-    /// Sets the length from which a segment is closed, in bytes.
+    /// Sets the size from which a segment is closed, in bytes.
     pub fn set_segment_bytes(&mut self, bytes: u64) {
         self.segment_bytes = bytes;
     }
@@ -117,7 +118,7 @@
         }
     }
 
-    fn read_all(&mut self) -> Result<(), StorageError> {
+    fn load(&mut self) -> Result<(), StorageError> {
         let path = self.folder.path();
         let names = self.folder.names().context(FileSnafu {
             step: "list folder",
@@ -133,27 +134,27 @@
             let is_last = position + 1 == segments.len();
             records.extend(self.read_segment(*number, is_last)?);
         }
-        self.sync_found()?;
+        self.sync_recovered_files()?;
         let metadata = snapshot.metadata;
-        let replayed = replay::replay(records, &metadata);
-        let replayed = replayed.map_err(|problem| {
+        let recovered = replay::replay(records, &metadata);
+        let recovered = recovered.map_err(|problem| {
             let oldest = self.segments.first().map(Segment::name);
             self.damaged(&oldest.unwrap_or_default(), problem)
         })?;
-        self.hard_state = replayed.hard_state;
+        self.hard_state = recovered.hard_state;
         self.snapshot = metadata;
-        self.terms = StoredTerms::new(&self.snapshot, &replayed.entries);
+        self.terms = StoredTerms::new(&self.snapshot, &recovered.entries);
         self.recovered = Some(RecoveredLog {
-            core: replayed,
+            core: recovered,
             snapshot: snapshot.bytes,
         });
         Ok(())
     }
 
-    /// Makes durable what was found. A process that was killed before its sync left writes,
-    /// names and, in an earlier start, cuts that a loss of power would undo, and this one
-    /// tells others that it holds them.
-    fn sync_found(&mut self) -> Result<(), StorageError> {
+    /// Makes the data found when the store is opened durable. A process that was killed before
+    /// its sync can leave writes, names and (from an earlier recovery) truncations that a power
+    /// loss would undo, whereas this process reports the data as durable to other members.
+    fn sync_recovered_files(&mut self) -> Result<(), StorageError> {
         let Some(last) = self.segments.last().map(Segment::name) else {
             return Ok(());
         };
@@ -165,8 +166,8 @@
         self.sync_names()
     }
 
-    /// The latest snapshot. It got its name only once it was durable, so a
-    /// faulty one is damage.
+    /// Reads the latest snapshot. A snapshot gets its name only after it is
+    /// durable, so an invalid one is damage.
     fn read_snapshot(&mut self, names: &[String]) -> Result<SnapshotFile, StorageError> {
         let latest = names.iter().rfind(|name| name.starts_with(SNAPSHOT_PREFIX));
         let Some(name) = latest else {
@@ -203,12 +204,13 @@
                 return Err(StorageError::Damaged {
                     path,
                     offset: valid,
-                    problem: "a closed segment ends in a faulty record".to_owned(),
+                    problem: "a closed segment ends with an invalid frame".to_owned(),
                 });
             }
             log::warn!(
-                "storage: a torn write at the end of {} is dropped",
-                path.display()
+                "storage: dropped a torn write at the end of {}: {} bytes after offset {valid}",
+                path.display(),
+                content.len() - frames.valid_bytes
             );
             let cut = self.folder.truncate(&name, valid);
             cut.context(FileSnafu {
@@ -219,7 +221,10 @@
         let mut records = Vec::new();
         for content in frames.contents {
             let Some(decoded) = decode_records(content) else {
-                return Err(self.damaged(&name, "a record is of an unknown form".to_owned()));
+                return Err(self.damaged(
+                    &name,
+                    "a frame contains records of an unknown form".to_owned(),
+                ));
             };
             records.extend(decoded);
         }
@@ -236,7 +241,8 @@
         }
     }
 
-    /// The segment that is written; a new one when there is none or it is full.
+    /// Position of the segment to write to, which is created if there is none or the last one
+    /// is full.
     fn active_segment(&mut self) -> Result<usize, StorageError> {
         let last = self.segments.last();
         let last_number = last.map_or(0, |segment| segment.number);
@@ -249,24 +255,24 @@
         }
         let position = self.segments.len() - 1;
         if self.segments[position].bytes == 0 {
-            // New, or begun and torn by a crash.
-            let begin = vec![Record::HardState(self.hard_state)];
-            self.write_frame(position, &begin)?;
+            // The segment is new, or its first frame was torn by a crash.
+            let first_records = vec![Record::HardState(self.hard_state)];
+            self.write_frame(position, &first_records)?;
             self.sync_names()?;
         }
         Ok(position)
     }
 
-    /// Writes one frame and makes it durable. On a full disk the file is as
-    /// before and the same call may be tried again.
+    /// Writes one frame and makes it durable. If the disk is full, the file is
+    /// restored to its previous size and the same call may be retried.
     fn write_frame(&mut self, position: usize, records: &Vec<Record>) -> Result<(), StorageError> {
         let mut buffer = Vec::new();
         frame::encode(&encode_records(records), &mut buffer);
         let name = self.segments[position].name();
         let path = self.path_of(&name);
         if let Err(source) = self.folder.append(&name, &buffer) {
-            let before = self.segments[position].bytes;
-            let restored = self.folder.truncate(&name, before).is_ok();
+            let previous_bytes = self.segments[position].bytes;
+            let restored = self.folder.truncate(&name, previous_bytes).is_ok();
             self.failed = !restored || source.kind() != std::io::ErrorKind::StorageFull;
             return Err(source).context(FileSnafu {
                 step: "write",
@@ -298,13 +304,13 @@
         let path = self.path_of(&name);
         let written = self.write_temporary(&buffer);
         if let Err(source) = written {
-            let _ = self.folder.remove(TEMPORARY);
+            let _ = self.folder.remove(TEMPORARY_SNAPSHOT);
             return Err(source).context(FileSnafu {
                 step: "write snapshot",
                 path,
             });
         }
-        let renamed = self.folder.rename(TEMPORARY, &name);
+        let renamed = self.folder.rename(TEMPORARY_SNAPSHOT, &name);
         renamed.context(FileSnafu {
             step: "rename snapshot",
             path,
@@ -314,14 +320,19 @@
     }
 
     fn write_temporary(&mut self, bytes: &[u8]) -> std::io::Result<()> {
-        if self.folder.names()?.iter().any(|name| name == TEMPORARY) {
-            self.folder.remove(TEMPORARY)?;
+        if self
+            .folder
+            .names()?
+            .iter()
+            .any(|name| name == TEMPORARY_SNAPSHOT)
+        {
+            self.folder.remove(TEMPORARY_SNAPSHOT)?;
         }
-        self.folder.append(TEMPORARY, bytes)?;
-        self.folder.sync(TEMPORARY)
+        self.folder.append(TEMPORARY_SNAPSHOT, bytes)?;
+        self.folder.sync(TEMPORARY_SNAPSHOT)
     }
 
-    /// Removes what the snapshot `keep` makes superfluous, oldest first.
+    /// Removes the segments and snapshots that the snapshot `keep` supersedes, oldest first.
     fn remove_superseded(&mut self, keep: &str) -> Result<(), StorageError> {
         let through = self.snapshot.last_index;
         while self.segments.len() > 1 && self.segments[0].last_index <= through {
@@ -405,8 +416,8 @@
         };
         let name = self.write_snapshot(&snapshot)?;
         self.snapshot = snapshot.metadata;
-        let goes_on = self.terms.at(metadata.last_index) == Some(metadata.last_term);
-        if !goes_on {
+        let log_continues = self.terms.at(metadata.last_index) == Some(metadata.last_term);
+        if !log_continues {
             self.pending.push(Record::Restart(RestartPoint {
                 index: metadata.last_index,
                 term: metadata.last_term,
--- a/crates/storage/src/small_file.rs
+++ b/crates/storage/src/small_file.rs
@@ -1,11 +1,12 @@
-//! Small files that are replaced as a whole.
+//! Atomic replacement of small files.
 
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Replaces a file durably; the folder is made when missing. After a loss of
-/// power the file holds either the old content or the new one.
+/// Replaces a file durably and atomically: after a power loss the file has
+/// either the old content or the new one. The folder is created if it does not
+/// exist.
 ///
 /// # Errors
 /// When the folder or the file can't be written.
--- a/crates/storage/src/sync_times.rs
+++ b/crates/storage/src/sync_times.rs
@@ -1,12 +1,12 @@
-//! How long the disk takes to sync writes, counted for the whole process.
+//! Histogram of the duration of disk syncs, for the whole process.
 
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use std::sync::LazyLock;
 use std::time::Instant;
 
-/// Upper bound of the first bucket, in seconds; each further one is twice that.
+/// Upper bound of the first bucket, in seconds; each further bound is twice the previous one.
 const FIRST_BUCKET_SECONDS: f64 = 0.000_1;
-/// Number of buckets.
+/// Number of buckets of the histogram.
 const BUCKETS: u16 = 16;
 
 static SYNC_TIMES: LazyLock<Histogram> = LazyLock::new(|| {
@@ -14,14 +14,14 @@
     Histogram::new(buckets)
 });
 
-/// Times of all syncs, in seconds.
+/// Histogram of the duration of all syncs, in seconds.
 #[must_use]
 pub fn sync_times() -> Histogram {
     SYNC_TIMES.clone()
 }
 
-/// Runs a sync and counts its time.
-pub(crate) fn timed<T>(sync: impl FnOnce() -> T) -> T {
+/// Runs a sync and records its duration.
+pub(crate) fn observe_sync<T>(sync: impl FnOnce() -> T) -> T {
     let started = Instant::now();
     let result = sync();
     SYNC_TIMES.observe(started.elapsed().as_secs_f64());
--- a/crates/storage/src/terms.rs
+++ b/crates/storage/src/terms.rs
@@ -1,9 +1,9 @@
-//! Terms of the stored entries, as runs of equal terms.
+//! Terms of the stored entries, held as runs of equal terms.
 
 use courseshunt_consensus::{Entry, SnapshotMetadata};
 use courseshunt_types::{LogIndex, Term};
 
-/// See the module.
+/// Terms by index, from the last entry of the snapshot on.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct StoredTerms {
     runs: Vec<Run>,
@@ -26,7 +26,7 @@
         terms
     }
 
-    /// The entry at `index` has this term; later ones are gone.
+    /// Records the term of the entry at `index`, and removes later entries.
     pub(crate) fn push(&mut self, index: LogIndex, term: Term) {
         self.runs.retain(|run| run.first_index < index);
         if self.runs.last().is_none_or(|run| run.term != term) {
@@ -36,7 +36,7 @@
         self.last_index = index;
     }
 
-    /// The log goes on after the entry (`index`, `term`).
+    /// Removes all entries; the log continues after the entry (`index`, `term`).
     pub(crate) fn restart(&mut self, index: LogIndex, term: Term) {
         self.runs.clear();
         self.push(index, term);
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! Contract of the file store: synced data comes back, a torn tail does not
-//! hurt, damage in the middle is named.
+//! Recovery of the file store: synced data is recovered, a torn tail is dropped,
+//! and damage before the tail is reported with file and offset.
 
 use courseshunt_consensus::{Entry, HardState, Membership, Payload, SnapshotMetadata};
 use courseshunt_storage::identity::claim_folder;
@@ -15,7 +15,7 @@
     }
 }
 
-fn filled(folder: &std::path::Path) {
+fn write_two_entries(folder: &std::path::Path) {
     let mut log = FileLog::open(folder).unwrap();
     log.recover().unwrap();
     log.append(None, &[entry(1), entry(2)]).unwrap();
@@ -25,7 +25,7 @@
 #[test]
 fn a_torn_tail_is_dropped() {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path());
+    write_two_entries(folder.path());
     let path = folder.path().join("segment-0000000000000001");
     let mut file = std::fs::OpenOptions::new()
         .append(true)
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn damage_before_the_tail_is_named() {
+fn damage_before_the_tail_is_reported() {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path());
+    write_two_entries(folder.path());
     let path = folder.path().join("segment-0000000000000001");
     let mut content = std::fs::read(&path).unwrap();
     content[20] ^= 0xff;
@@ -53,24 +53,24 @@
 }
 
 #[test]
-fn damage_is_named_by_file_and_offset_and_a_faulty_snapshot_too() {
+fn damage_and_an_invalid_snapshot_are_reported_with_the_file() {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path());
+    write_two_entries(folder.path());
     let path = folder.path().join("segment-0000000000000001");
     let before_last = std::fs::read(&path).unwrap().len();
     let mut log = FileLog::open(folder.path()).unwrap();
     log.append(None, &[entry(3)]).unwrap();
     log.sync().unwrap();
-    let whole = std::fs::read(&path).unwrap();
+    let intact = std::fs::read(&path).unwrap();
     for offset in (0..before_last).step_by(7) {
-        let mut content = whole.clone();
+        let mut content = intact.clone();
         content[offset] ^= 0x5a;
         std::fs::write(&path, content).unwrap();
         let error = FileLog::open(folder.path()).unwrap_err().to_string();
         assert!(error.contains("segment-0000000000000001"), "{error}");
         assert!(error.contains("damaged at offset"), "{error}");
     }
-    std::fs::write(&path, whole).unwrap();
+    std::fs::write(&path, intact).unwrap();
     let mut log = FileLog::open(folder.path()).unwrap();
     log.save_snapshot(&metadata(2), b"the state").unwrap();
     let path = folder.path().join("snapshot-0000000000000002");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_snapshot_takes_the_place_of_the_log_before_it() {
+fn a_snapshot_replaces_the_log_before_it() {
     let folder = tempfile::tempdir().unwrap();
     let mut log = FileLog::open(folder.path()).unwrap();
     log.set_segment_bytes(500);
@@ -117,9 +117,9 @@
 }
 
 #[test]
-fn a_snapshot_from_the_leader_replaces_a_log_that_differs() {
+fn a_snapshot_from_the_leader_replaces_a_conflicting_log() {
     let folder = tempfile::tempdir().unwrap();
-    filled(folder.path());
+    write_two_entries(folder.path());
     let mut log = FileLog::open(folder.path()).unwrap();
     let other_term = SnapshotMetadata {
         last_term: Term(9),
@@ -134,9 +134,9 @@
 }
 
 #[test]
-fn a_folder_serves_one_member_and_an_empty_one_begins_only_when_told() {
+fn a_folder_belongs_to_one_member_and_an_empty_one_needs_permission() {
     let folder = tempfile::tempdir().unwrap();
-    let claim = |id, may_begin| claim_folder(folder.path(), ControllerId(id), may_begin);
+    let claim = |id, allow_new| claim_folder(folder.path(), ControllerId(id), allow_new);
     let refused = claim(1, false).unwrap_err().to_string();
     assert!(refused.contains("joins under a new id"), "{refused}");
     claim(1, true).unwrap();
