--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,12 +1,12 @@
-//! Replicated commands and the state they change.
+//! Replicated commands and the state machine that applies them.
 //!
-//! Invariant: [`ReplicatedState::apply`] is deterministic. It reads no clock,
-//! no random numbers and no memory addresses; equal logs give equal states on
+//! Invariant: [`ReplicatedState::apply`] is deterministic. It depends on no
+//! clock, random numbers or memory addresses; equal logs give equal states on
 //! every member. Time comes from the log, as written by the leader.
 
 #![allow(
     missing_docs,
-    reason = "the fields of the archived enums that rkyv derives carry no docs"
+    reason = "the fields of the archived enums that rkyv derives have no doc comments"
 )]
 
 pub mod claims;
@@ -26,7 +26,7 @@
 pub use command::{ClaimRequest, Command, CommandEnvelope};
 pub use configuration::{
     ChangeRequest, Configuration, DocumentKey, DocumentKind, FleetLimits, HistoryEntry,
-    ModelDocument, Removal, StoredDeployment, StoredTenant, TenantDocument, Verdict,
+    ModelDocument, Removal, StoredDeployment, StoredTenant, TenantDocument, ValidationOutcome,
 };
 pub use drains::Drains;
 pub use jobs::{JobRecord, JobState, Jobs};
--- a/crates/state/src/stored/production.rs
+++ b/crates/state/src/stored/previous_release.rs
@@ -1,6 +1,7 @@
-//! The form in which production's build keeps the state, as it is on disk: never changed.
+//! The form in which the previous release stores the state on disk.
 //!
-//! Types that have not changed since are the present ones.
+//! Invariant: the form never changes. Types that are unchanged since that release are shared with
+//! the current form.
 
 use crate::claims::Claims;
 use crate::configuration::Configuration;
@@ -15,9 +16,9 @@
 use courseshunt_types::{ControllerId, LogIndex, RunnerId, UnixMillis};
 use std::collections::{BTreeMap, VecDeque};
 
-/// See [`ReplicatedState`].
+/// [`ReplicatedState`] as stored by the previous release.
 #[derive(rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-pub(super) struct ProductionState {
+pub(super) struct PreviousReleaseState {
     applied: LogIndex,
     time: UnixMillis,
     configuration: Configuration,
@@ -28,12 +29,12 @@
     drains: Drains,
     sessions: Sessions,
     members: MemberAddresses,
-    services: ProductionServices,
+    services: PreviousReleaseServices,
 }
 
-/// See [`Services`]; nothing is in quarantine.
+/// [`Services`] as stored by the previous release, which has no quarantine.
 #[derive(rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
-struct ProductionServices {
+struct PreviousReleaseServices {
     number: u64,
     document: Vec<u8>,
     leaving: VecDeque<LeavingInstance>,
@@ -42,8 +43,8 @@
     orders_holder: Option<ControllerId>,
 }
 
-impl From<ProductionState> for ReplicatedState {
-    fn from(state: ProductionState) -> Self {
+impl From<PreviousReleaseState> for ReplicatedState {
+    fn from(state: PreviousReleaseState) -> Self {
         let services = state.services;
         Self {
             applied: state.applied,
@@ -69,7 +70,7 @@
     }
 }
 
-impl From<ReplicatedState> for ProductionState {
+impl From<ReplicatedState> for PreviousReleaseState {
     fn from(state: ReplicatedState) -> Self {
         let services = state.services;
         Self {
@@ -83,7 +84,7 @@
             drains: state.drains,
             sessions: state.sessions,
             members: state.members,
-            services: ProductionServices {
+            services: PreviousReleaseServices {
                 number: services.number,
                 document: services.document,
                 leaving: services.leaving,
