--- a/crates/controller/src/peers/addresses.rs
+++ b/crates/controller/src/peers/addresses.rs
@@ -108,7 +108,7 @@
         }
         let earlier = connect_within(limit, self.source, address, key, identity).await;
         match earlier {
-            Ok(connection) if connection.is_earlier() => Ok(connection),
+            Ok(connection) if connection.is_previous_release() => Ok(connection),
             _ => connected,
         }
     }
--- a/crates/coordinator/src/feed.rs
+++ b/crates/coordinator/src/feed.rs
@@ -41,7 +41,7 @@
     let ended = match connection {
         Ok(connection) => match connection.peer.clone() {
             // Members of production's build have no port of their own for each other.
-            PeerIdentity::Controller(_) if connection.is_earlier() => {
+            PeerIdentity::Controller(_) if connection.is_previous_release() => {
                 member_thread::serve_member(connection, address, &shared).await
             }
             PeerIdentity::Controller(peer) => {
@@ -74,7 +74,7 @@
     number: u64,
     shared: &Arc<Shared>,
 ) -> Result<(), WireError> {
-    let is_earlier = connection.is_earlier();
+    let is_earlier = connection.is_previous_release();
     let Connection {
         mut sender,
         mut receiver,
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -52,7 +52,7 @@
     QuotaSettings,
 };
 use courseshunt_settings::service::{SeedList, ServiceSettings};
-use courseshunt_types::time::{MonotonicClock, SleepWatch};
+use courseshunt_types::time::{MonotonicClock, SuspendDetector};
 use courseshunt_types::{ControllerId, Millis, Timestamp, Zone};
 use courseshunt_wire::ClusterKey;
 use error::{BindSnafu, MemberThreadSnafu, ReplicaSnafu};
@@ -248,10 +248,10 @@
 /// Tells when the machine was suspended. Nothing waits for it: what expires is judged by a
 /// clock that counts the sleep, whenever it is asked.
 async fn watch_sleep(shared: Arc<Shared>) {
-    let mut watch = SleepWatch::start(&shared.clock);
+    let mut watch = SuspendDetector::start(&shared.clock);
     loop {
         tokio::time::sleep(SLEEP_LOOK).await;
-        if let Some(slept) = watch.look(&shared.clock) {
+        if let Some(slept) = watch.check(&shared.clock) {
             shared.metrics.slept(slept);
             emit(&ControllerRecord::Slept { slept_ms: slept.0 });
         }
--- a/crates/coordinator/src/relay.rs
+++ b/crates/coordinator/src/relay.rs
@@ -139,9 +139,9 @@
     while let Some(message) = receiver.receive().await? {
         match message {
             Message::PeerAlive => {}
-            Message::RegistrationsTaken {
+            Message::RegistrationsReply {
                 leads: true,
-                lacked,
+                missing: lacked,
             } => return Ok(Some(lacked)),
             _ => return Ok(None),
         }
@@ -175,5 +175,8 @@
     if !lacked.is_empty() {
         log::debug!("relay: {} registrations of {from} are lacked", lacked.len());
     }
-    Message::RegistrationsTaken { leads, lacked }
+    Message::RegistrationsReply {
+        leads,
+        missing: lacked,
+    }
 }
--- a/crates/coordinator/src/upstream.rs
+++ b/crates/coordinator/src/upstream.rs
@@ -186,7 +186,7 @@
 /// Follows a leader until its feed ends.
 async fn follow(address: SocketAddr, shared: &Arc<Shared>) -> Result<(), WireError> {
     let connection = leader_link::connect(address, shared).await?;
-    let is_earlier = connection.is_earlier();
+    let is_earlier = connection.is_previous_release();
     shared.upstream.set_leader_is_earlier(is_earlier);
     let Connection {
         mut sender,
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -7,8 +7,8 @@
 use courseshunt_services::{FeedMessage, LimitWord, ReportMessage, RouteTable, judge};
 use courseshunt_types::{Incarnation, RouterId, RunnerId};
 use courseshunt_wire::{
-    ClusterKey, Connection, EARLIER_VERSION, Message, PeerIdentity, Receiver, Sender, WireError,
-    connect_within,
+    ClusterKey, Connection, Message, PREVIOUS_RELEASE_VERSION, PeerIdentity, Receiver, Sender,
+    WireError, connect_within,
 };
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -67,7 +67,7 @@
     } = connected?;
     search.limit.succeeded();
     // One of production's build tells nothing before it is asked.
-    if version != EARLIER_VERSION {
+    if version != PREVIOUS_RELEASE_VERSION {
         if let FeedMessage::Members(members) = receive(&mut receiver, address).await? {
             search.set_members(members);
         }
@@ -120,7 +120,7 @@
     loop {
         let message = receive(&mut receiver, address).await?;
         // A leader of production's build is the only one that feeds.
-        if looks_at <= Instant::now() && version != EARLIER_VERSION {
+        if looks_at <= Instant::now() && version != PREVIOUS_RELEASE_VERSION {
             if search.has_better(address) {
                 return Ok(FeedEnd::Better);
             }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -42,7 +42,7 @@
 use answer_words::UnknownWords;
 use courseshunt_records::emit;
 use courseshunt_settings::service::{SeedList, ServiceSettings};
-use courseshunt_types::time::{MonotonicClock, SleepWatch};
+use courseshunt_types::time::{MonotonicClock, SuspendDetector};
 use error::{BindSnafu, NoAddressSnafu, ShortKeySnafu};
 use limit_desk::LimitDesk;
 use metrics::Metrics;
@@ -104,10 +104,10 @@
 /// Tells when the machine was suspended. Nothing waits for it: what expires is judged by a
 /// clock that counts the sleep, whenever it is asked.
 async fn watch_sleep(shared: Arc<Shared>) {
-    let mut watch = SleepWatch::start(&shared.clock);
+    let mut watch = SuspendDetector::start(&shared.clock);
     loop {
         tokio::time::sleep(SLEEP_LOOK).await;
-        if let Some(slept) = watch.look(&shared.clock) {
+        if let Some(slept) = watch.check(&shared.clock) {
             shared.metrics.slept(slept);
             emit(&RouterRecord::Slept { slept_ms: slept.0 });
         }
--- a/crates/queue/src/estimate.rs
+++ b/crates/queue/src/estimate.rs
@@ -27,7 +27,7 @@
 }
 
 fn bucket(class: PriorityClass, deadline: Timestamp) -> i64 {
-    deadline.stretch(BUCKET_WIDTHS[class.rank()])
+    deadline.window_index(BUCKET_WIDTHS[class.rank()])
 }
 
 impl WaitEstimate {
--- a/crates/services/src/budget.rs
+++ b/crates/services/src/budget.rs
@@ -84,7 +84,7 @@
     /// From 0 up to 1, evenly over routers: what this one's share is rounded up by at `now`.
     fn draw(&self, now: Timestamp) -> f64 {
         let length = (self.window.0 * DRAW_WINDOWS).max(1);
-        let number = (now + Millis(self.seed % length)).stretch(Millis(length));
+        let number = (now + Millis(self.seed % length)).window_index(Millis(length));
         xxh3_64_with_seed(&number.to_le_bytes(), self.seed) as f64 / u64::MAX as f64
     }
 
--- a/crates/services/src/quota/history.rs
+++ b/crates/services/src/quota/history.rs
@@ -39,7 +39,7 @@
 
     /// Adds use at a moment; `untold` is the part that the leader doesn't know of.
     pub fn add(&mut self, units: i64, untold: i64, at: Timestamp) {
-        let begin = at.stretch_begin(self.slot);
+        let begin = at.window_start(self.slot);
         let place = self.slots.partition_point(|slot| slot.at < begin);
         if self.slots.get(place).is_none_or(|slot| slot.at != begin) {
             let slot = Slot {
--- a/crates/services/tests/lives.rs
+++ b/crates/services/tests/lives.rs
@@ -11,7 +11,7 @@
 
 fn registration(started: Option<u64>, sequence: u64, model: &str) -> Registration {
     let id = match started {
-        Some(started) => RunnerId::of_life("i-1", started),
+        Some(started) => RunnerId::of_incarnation("i-1", started),
         None => RunnerId::from("i-1"),
     };
     Registration {
@@ -56,14 +56,14 @@
     assert!(engine.register(registration(Some(FIRST), 90, "old"), now));
     // Its own count is far below that of the life before.
     assert!(engine.register(registration(Some(SECOND), 1, "new"), now));
-    let later = vec![(RunnerId::of_life("i-1", SECOND), "new".to_owned())];
+    let later = vec![(RunnerId::of_incarnation("i-1", SECOND), "new".to_owned())];
     assert_eq!(models(&engine, now), later);
     assert!(!engine.register(registration(Some(FIRST), 91, "old"), now));
-    engine.depart(&RunnerId::of_life("i-1", FIRST), now);
+    engine.depart(&RunnerId::of_incarnation("i-1", FIRST), now);
     assert_eq!(models(&engine, now), later);
     let (_, gone) = engine.take_changes(now);
     assert!(
-        gone.contains(&RunnerId::of_life("i-1", FIRST)),
+        gone.contains(&RunnerId::of_incarnation("i-1", FIRST)),
         "routers are told"
     );
 }
@@ -89,9 +89,12 @@
         sequence: 9,
         ..InstanceReport::default()
     };
-    engine.on_report(&RunnerId::of_life("i-1", SECOND), Some(report), now);
+    engine.on_report(&RunnerId::of_incarnation("i-1", SECOND), Some(report), now);
     let held = models(&engine, now);
-    assert_eq!(held, [(RunnerId::of_life("i-1", SECOND), "new".to_owned())]);
+    assert_eq!(
+        held,
+        [(RunnerId::of_incarnation("i-1", SECOND), "new".to_owned())]
+    );
 }
 
 #[test]
@@ -150,7 +153,7 @@
             latest = latest.max(started);
             let held = models(&engine, now);
             prop_assert_eq!(held.len(), 1);
-            prop_assert_eq!(&held[0].0, &RunnerId::of_life("i-1", latest));
+            prop_assert_eq!(&held[0].0, &RunnerId::of_incarnation("i-1", latest));
             prop_assert_eq!(&held[0].1, &format!("m{latest}"));
         }
     }
--- a/crates/services/tests/plain_spread.rs
+++ b/crates/services/tests/plain_spread.rs
@@ -76,7 +76,7 @@
             routers[one.router].first_answer(&one.candidate, RUN, true);
             routers[one.router].end(&one.candidate, true);
         }
-        if now.stretch_begin(TOLD_EVERY) == now {
+        if now.window_start(TOLD_EVERY) == now {
             tell(&running, &mut routers, now);
         }
         if random.next_u64() % 1_000 >= ARRIVALS {
--- a/crates/services/tests/pushback.rs
+++ b/crates/services/tests/pushback.rs
@@ -116,7 +116,7 @@
 
 #[test]
 fn leaving_outweighs_whatever_is_told_later_of_the_same_life() {
-    let first = RunnerId::of_life("a", 1);
+    let first = RunnerId::of_incarnation("a", 1);
     let mut views = [view("a"), view("b")];
     views[0].id = first.clone();
     let mut selector = selector();
@@ -129,7 +129,7 @@
     assert_eq!(selector.pushback(&views[0], later), Some(Pushback::Leaving));
     let chosen = send(&mut selector, &views, later).expect("a choice");
     assert_eq!(chosen.instance, views[1].id);
-    views[0].id = RunnerId::of_life("a", 2);
+    views[0].id = RunnerId::of_incarnation("a", 2);
     assert_eq!(selector.pushback(&views[0], later), None, "another life");
 }
 
--- a/crates/services/tests/quarantine_ways.rs
+++ b/crates/services/tests/quarantine_ways.rs
@@ -243,7 +243,7 @@
 
     fn play(mut self) -> Outcome {
         while self.now < LENGTH {
-            let second = self.now.since(self.now.stretch_begin(Millis(1_000))).0;
+            let second = self.now.since(self.now.window_start(Millis(1_000))).0;
             for _ in 0..3 {
                 let unique = self.number();
                 self.send(Digest::of(&unique.to_le_bytes()), false);
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -207,7 +207,7 @@
     /// The identity of one life of an instance that starts again under its name; `started`
     /// is the Unix millisecond of its start.
     #[must_use]
-    pub fn of_life(name: &str, started: u64) -> Self {
+    pub fn of_incarnation(name: &str, started: u64) -> Self {
         Self(format!("{name}{LIFE_SEPARATOR}{started}"))
     }
 
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -87,14 +87,14 @@
     /// Number of the stretch of this length that it falls into; the first one after the start
     /// is zero. A length of zero is taken for a millisecond.
     #[must_use]
-    pub fn stretch(self, length: Millis) -> i64 {
+    pub fn window_index(self, length: Millis) -> i64 {
         self.0
             .div_euclid(i64::try_from(length.0.max(1)).unwrap_or(i64::MAX))
     }
 
     /// When the stretch of this length began that it falls into.
     #[must_use]
-    pub fn stretch_begin(self, length: Millis) -> Timestamp {
+    pub fn window_start(self, length: Millis) -> Timestamp {
         let length = i64::try_from(length.0.max(1)).unwrap_or(i64::MAX);
         Timestamp(self.0 - self.0.rem_euclid(length))
     }
@@ -238,7 +238,7 @@
 
 /// Finds out that the machine was suspended, by two clocks of which one stood still.
 #[derive(Debug)]
-pub struct SleepWatch {
+pub struct SuspendDetector {
     steady: Instant,
     began: Timestamp,
     /// How far the counting clock was ahead of the steady one.
@@ -248,7 +248,7 @@
 /// Shorter differences are jitter between two readings.
 const SHORTEST_SLEEP: Millis = Millis(50);
 
-impl SleepWatch {
+impl SuspendDetector {
     /// Begins to watch.
     #[must_use]
     pub fn start(clock: &MonotonicClock) -> Self {
@@ -260,7 +260,7 @@
     }
 
     /// How long the machine has been suspended since the last look, if it was.
-    pub fn look(&mut self, clock: &MonotonicClock) -> Option<Millis> {
+    pub fn check(&mut self, clock: &MonotonicClock) -> Option<Millis> {
         let counted = clock.now().since(self.began);
         let steady = u64::try_from(self.steady.elapsed().as_millis()).unwrap_or(u64::MAX);
         let ahead = Millis(counted.0.saturating_sub(steady));
--- a/crates/types/tests/time.rs
+++ b/crates/types/tests/time.rs
@@ -18,14 +18,10 @@
 fn stretches_go_on_before_the_start() {
     let length = Millis(100);
     for (at, number, begin) in [(0, 0, 0), (99, 0, 0), (100, 1, 100), (-1, -1, -100)] {
-        assert_eq!(Timestamp(at).stretch(length), number, "{at}");
-        assert_eq!(
-            Timestamp(at).stretch_begin(length),
-            Timestamp(begin),
-            "{at}"
-        );
+        assert_eq!(Timestamp(at).window_index(length), number, "{at}");
+        assert_eq!(Timestamp(at).window_start(length), Timestamp(begin), "{at}");
     }
-    assert_eq!(Timestamp(7).stretch(Millis(0)), 7);
+    assert_eq!(Timestamp(7).window_index(Millis(0)), 7);
 }
 
 #[test]
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,12 +1,12 @@
 //! One connection between two processes.
 
-use crate::earlier;
 use crate::error::WireError;
-use crate::frame::{EARLIER_VERSION, Frame, HEADER_BYTES, decode, decode_header};
+use crate::frame::{Frame, HEADER_BYTES, PREVIOUS_RELEASE_VERSION, decode, decode_header};
 use crate::handshake::{
     ClusterKey, NONCE_BYTES, PROOF_BYTES, PeerIdentity, common_version, told_identity,
 };
 use crate::message::Message;
+use crate::previous_release;
 use crate::traffic;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -54,10 +54,10 @@
 }
 
 impl Connection {
-    /// Whether the peer is of an earlier build: see [`crate::earlier`].
+    /// Whether the peer is of an earlier build: see [`crate::previous_release`].
     #[must_use]
-    pub fn is_earlier(&self) -> bool {
-        self.version == EARLIER_VERSION
+    pub fn is_previous_release(&self) -> bool {
+        self.version == PREVIOUS_RELEASE_VERSION
     }
 }
 
@@ -108,7 +108,7 @@
             return Ok(None);
         };
         let message = match self.version {
-            EARLIER_VERSION => earlier::decode(&content, checksum),
+            PREVIOUS_RELEASE_VERSION => previous_release::decode(&content, checksum),
             _ => decode(&content, checksum),
         };
         let message = message.map_err(|problem| self.faulty(problem))?;
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -2,15 +2,15 @@
 //! the compression), which is `rkyv`.
 
 use crate::compression;
-use crate::earlier;
 use crate::message::Message;
+use crate::previous_release;
 use rkyv::util::AlignedVec;
 use std::sync::OnceLock;
 
 /// Version of the protocol that this build speaks with its equals.
 pub const PROTOCOL_VERSION: u8 = 6;
-/// Version that production's build speaks, which knows no other one: see [`crate::earlier`].
-pub const EARLIER_VERSION: u8 = 2;
+/// Version that production's build speaks, which knows no other one: see [`crate::previous_release`].
+pub const PREVIOUS_RELEASE_VERSION: u8 = 2;
 /// Longest content of a frame, in bytes, packed or not.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 /// Longest command of the replicated log, in bytes: an entry that fits no message would be
@@ -59,7 +59,7 @@
     /// The whole frame for a peer of this version; none: it has no word for the message.
     pub(crate) fn bytes_for(&self, version: u8) -> Option<&[u8]> {
         match version {
-            EARLIER_VERSION => self.earlier.get_or_init(|| self.to_earlier()).as_deref(),
+            PREVIOUS_RELEASE_VERSION => self.earlier.get_or_init(|| self.to_earlier()).as_deref(),
             _ => Some(&self.bytes),
         }
     }
@@ -68,7 +68,7 @@
         let (header, content) = self.bytes.split_first_chunk::<HEADER_BYTES>()?;
         let header = decode_header(header, PROTOCOL_VERSION).ok()?;
         let message = decode(content, header.checksum);
-        match message.and_then(|message| earlier::encode(&message)) {
+        match message.and_then(|message| previous_release::encode(&message)) {
             Ok(bytes) => bytes,
             Err(problem) => {
                 log::error!("wire: a message can't be put for an earlier build: {problem}");
@@ -112,7 +112,7 @@
     if bytes[0] != version {
         return Err(format!(
             "protocol version {} is not spoken here: this build speaks {PROTOCOL_VERSION}, and \
-             {EARLIER_VERSION} with production's",
+             {PREVIOUS_RELEASE_VERSION} with production's",
             bytes[0]
         ));
     }
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,6 +1,6 @@
 //! Mutual proof of the cluster key: HMAC-SHA-256 over both sides' nonces.
 
-use crate::frame::{EARLIER_VERSION, PROTOCOL_VERSION};
+use crate::frame::{PREVIOUS_RELEASE_VERSION, PROTOCOL_VERSION};
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
@@ -93,5 +93,7 @@
 pub(crate) fn common_version(told: &[u8]) -> u8 {
     let version = told.strip_prefix(TELLS_VERSION.as_slice());
     let version = version.and_then(|rest| rest.first().copied());
-    version.map_or(EARLIER_VERSION, |version| version.min(PROTOCOL_VERSION))
+    version.map_or(PREVIOUS_RELEASE_VERSION, |version| {
+        version.min(PROTOCOL_VERSION)
+    })
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -13,12 +13,12 @@
 pub mod compression;
 mod connection;
 mod dial_limit;
-pub mod earlier;
 pub mod error;
 mod frame;
 mod handshake;
 pub mod message;
 mod parts;
+pub mod previous_release;
 mod traffic;
 
 pub use connection::{
@@ -27,7 +27,8 @@
 pub use dial_limit::DialLimit;
 pub use error::WireError;
 pub use frame::{
-    EARLIER_VERSION, Frame, MAX_COMMAND_BYTES, MAX_FRAME_BYTES, PROTOCOL_VERSION, decode, encode,
+    Frame, MAX_COMMAND_BYTES, MAX_FRAME_BYTES, PREVIOUS_RELEASE_VERSION, PROTOCOL_VERSION, decode,
+    encode,
 };
 pub use handshake::{ClusterKey, MIN_KEY_BYTES, PeerIdentity};
 pub use message::Message;
--- a/crates/wire/src/earlier/message.rs
+++ b/crates/wire/src/previous_release/message.rs
@@ -216,11 +216,11 @@
     /// Controller to leading controller: instances that registered there.
     Registrations(Vec<RelayedRegistration>),
     /// Answers [`Message::Registrations`].
-    RegistrationsTaken {
+    RegistrationsReply {
         /// Whether the sender leads; otherwise nothing was taken.
         leads: bool,
         /// Instances whose earlier registration the sender lacks.
-        lacked: Vec<RunnerId>,
+        missing: Vec<RunnerId>,
     },
     /// Controller to controller: a process with a new disk wants to join.
     Join {
--- a/crates/wire/src/earlier/mod.rs
+++ b/crates/wire/src/previous_release/mod.rs
@@ -24,7 +24,7 @@
     };
     let content = rkyv::to_bytes::<rkyv::rancor::Error>(&earlier);
     let content = content.map_err(|error| error.to_string())?;
-    frame::wrap(&content, frame::EARLIER_VERSION).map(Some)
+    frame::wrap(&content, frame::PREVIOUS_RELEASE_VERSION).map(Some)
 }
 
 /// Reads the content of a frame of version 2.
@@ -71,9 +71,13 @@
         Message::ServiceFeed(feed) => Earlier::ServiceFeed(to_earlier_feed(feed)?),
         Message::ServiceReport(report) => Earlier::ServiceReport(to_earlier_report(report)?),
         Message::Registrations(batch) => Earlier::Registrations(batch),
-        Message::RegistrationsTaken { leads, lacked } => {
-            Earlier::RegistrationsTaken { leads, lacked }
-        }
+        Message::RegistrationsReply {
+            leads,
+            missing: lacked,
+        } => Earlier::RegistrationsReply {
+            leads,
+            missing: lacked,
+        },
         Message::Join {
             member,
             wire_address,
@@ -117,9 +121,13 @@
         Earlier::ServiceFeed(feed) => Message::ServiceFeed(from_earlier_feed(feed)),
         Earlier::ServiceReport(report) => Message::ServiceReport(from_earlier_report(report)),
         Earlier::Registrations(batch) => Message::Registrations(batch),
-        Earlier::RegistrationsTaken { leads, lacked } => {
-            Message::RegistrationsTaken { leads, lacked }
-        }
+        Earlier::RegistrationsReply {
+            leads,
+            missing: lacked,
+        } => Message::RegistrationsReply {
+            leads,
+            missing: lacked,
+        },
         Earlier::Join {
             member,
             wire_address,
--- a/crates/wire/tests/earlier_build.rs
+++ b/crates/wire/tests/earlier_build.rs
@@ -8,7 +8,7 @@
 };
 use courseshunt_types::{ControllerId, GroupId, LogIndex, Millis, ModelName, RunnerId, Term, Zone};
 use courseshunt_wire::message::CallId;
-use courseshunt_wire::{EARLIER_VERSION, Message, earlier};
+use courseshunt_wire::{Message, PREVIOUS_RELEASE_VERSION, previous_release};
 
 /// Bytes of a frame before its content.
 const HEADER: usize = 9;
@@ -227,9 +227,9 @@
         ),
         (
             recorded!("registrations-taken"),
-            Message::RegistrationsTaken {
+            Message::RegistrationsReply {
                 leads: true,
-                lacked: vec![RunnerId::from("a")],
+                missing: vec![RunnerId::from("a")],
             },
         ),
         (
@@ -251,16 +251,16 @@
 }
 
 fn read(frame: &[u8]) -> Result<Message, String> {
-    assert_eq!(frame[0], EARLIER_VERSION);
+    assert_eq!(frame[0], PREVIOUS_RELEASE_VERSION);
     let checksum = u32::from_le_bytes([frame[5], frame[6], frame[7], frame[8]]);
-    earlier::decode(&frame[HEADER..], checksum)
+    previous_release::decode(&frame[HEADER..], checksum)
 }
 
 #[test]
 fn frames_of_productions_build_are_read_and_written_as_it_does() {
     for (frame, message) in [reports(), feed(), members()].concat() {
         assert_eq!(read(frame).as_ref(), Ok(&message));
-        let written = earlier::encode(&message).expect("a message");
+        let written = previous_release::encode(&message).expect("a message");
         assert_eq!(written.as_deref(), Some(frame), "{message:?}");
     }
 }
@@ -276,7 +276,7 @@
         Message::RelayedReports(Vec::new()),
     ];
     for message in unknown {
-        assert_eq!(earlier::encode(&message), Ok(None), "{message:?}");
+        assert_eq!(previous_release::encode(&message), Ok(None), "{message:?}");
     }
 }
 
--- a/crates/wire/tests/type_forms.rs
+++ b/crates/wire/tests/type_forms.rs
@@ -6,10 +6,10 @@
 use std::path::Path;
 
 /// The version of the protocol, and the types' digest.
-const KNOWN: (u8, &str) = (6, "c432cf9e9a7359b1");
+const KNOWN: (u8, &str) = (6, "2507437eb3dcdeca");
 
 const ADVICE: &str = "An archived type has changed. If it is on the wire: take the next \
-    PROTOCOL_VERSION, keep the types of the version before in wire::earlier, and translate. If it is \
+    PROTOCOL_VERSION, keep the types of the version before in wire::previous_release, and translate. If it is \
     in the replicated state: keep the form before in state::stored. New commands go to the end of \
     their list. If the form is the same (a name, a move, a type that is never sent or kept), say so \
     in the commit. Then put the new digest here";
