--- a/crates/types/src/class.rs
+++ b/crates/types/src/class.rs
@@ -1,6 +1,6 @@
 //! Priority classes of requests.
 
-/// How urgent a request is. The order of the variants is the order of service.
+/// Priority class of a request. The order of the variants is the order of service.
 #[derive(
     Debug,
     Clone,
@@ -19,20 +19,20 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum PriorityClass {
-    /// Control loops, such as setpoints and valve commands.
+    /// Requests of control loops, such as setpoints and valve commands.
     Critical,
-    /// A person waits for the answer.
+    /// Requests of a person who waits for the response.
     #[default]
     Interactive,
-    /// Plans and reports that may wait for hours.
+    /// Requests that may wait for hours, such as plans and reports.
     Batch,
 }
 
 impl PriorityClass {
-    /// All classes, the most urgent first.
+    /// All classes, highest priority first.
     pub const ALL: [PriorityClass; 3] = [Self::Critical, Self::Interactive, Self::Batch];
 
-    /// Position in [`Self::ALL`].
+    /// Index in [`Self::ALL`].
     #[must_use]
     pub fn rank(self) -> usize {
         self as usize
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Reads the name used in headers and settings.
+    /// Parses the name used in headers and settings.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|class| class.as_str() == text)
--- a/crates/types/src/digest.rs
+++ b/crates/types/src/digest.rs
@@ -2,7 +2,7 @@
 
 use sha2::{Digest as _, Sha256};
 
-/// SHA-256 of some content. Shown as lowercase hexadecimal.
+/// SHA-256 digest of a content. Its text form is 64 lowercase hexadecimal digits.
 #[derive(
     Clone,
     Copy,
@@ -25,7 +25,9 @@
         Self(Sha256::digest(content).into())
     }
 
-    /// Digest of several parts, each of which may be missing.
+    /// Digest of several parts, each of which may be missing. The length of each part is hashed in
+    /// front of it, with `u64::MAX` for a missing one, so that different splits of the same bytes
+    /// have different digests.
     #[must_use]
     pub fn of_parts<'a>(parts: impl IntoIterator<Item = Option<&'a [u8]>>) -> Self {
         let mut hash = Sha256::new();
@@ -37,13 +39,13 @@
         Self(hash.finalize().into())
     }
 
-    /// The first 16 hexadecimal digits, for logs.
+    /// The first 16 hexadecimal digits, for log lines.
     #[must_use]
     pub fn short(&self) -> String {
         self.to_string()[..16].to_owned()
     }
 
-    /// Reads 64 hexadecimal digits.
+    /// Parses 64 hexadecimal digits; `None` for any other text.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let mut bytes = [0_u8; 32];
--- a/crates/types/src/fence.rs
+++ b/crates/types/src/fence.rs
@@ -1,9 +1,11 @@
-//! Fences: totally ordered tokens that make stale orders harmless.
+//! Fencing tokens, by which runners reject stale orders.
+//!
+//! Invariant: tokens are totally ordered, by term first and then by sequence.
 
 use crate::ids::Term;
 
-/// A fencing token. Every order to a runner carries one; a runner refuses an
-/// order whose fence is lower than the highest it has seen for that deployment.
+/// A fencing token. Every order to a runner carries one; a runner refuses an order whose fence is
+/// lower than the highest one that it has received for the same deployment.
 #[derive(
     Debug,
     Clone,
@@ -21,7 +23,7 @@
     rkyv::Deserialize,
 )]
 pub struct Fence {
-    /// Term of the leader whose decision this was.
+    /// Term of the leader that made the decision.
     pub term: Term,
     /// Log index of the decision; unique within the group.
     pub sequence: u64,
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,7 +1,7 @@
 //! Typed identifiers.
 //!
-//! Numbers that are compared (terms, indexes, revisions) are ordered; names
-//! are opaque strings chosen by operators.
+//! Numeric identifiers (terms, indexes, revisions) are ordered; names are opaque strings that
+//! operators or clients choose.
 
 use std::fmt;
 
@@ -77,7 +77,7 @@
 
 numeric_id!(
     /// Identity of a member of the control group. A member whose disk was lost
-    /// comes back under a new one.
+    /// rejoins with a new one.
     ControllerId
 );
 numeric_id!(
@@ -93,7 +93,7 @@
     Revision
 );
 numeric_id!(
-    /// Number that a process draws at each start, so that a restart is seen.
+    /// Random number that a process draws at each start, so that restarts are detected.
     Incarnation
 );
 numeric_id!(
@@ -105,7 +105,7 @@
     Version
 );
 numeric_id!(
-    /// Sequence number of one client's commands, for duplicate detection.
+    /// Sequence number of a command of one client, for duplicate detection.
     ClientSequence
 );
 numeric_id!(
@@ -113,7 +113,7 @@
     Attempt
 );
 numeric_id!(
-    /// Generation of a queue's ownership; a new owner takes a higher one.
+    /// Generation of a queue's ownership; it increases with each change of the owner.
     Epoch
 );
 
@@ -142,27 +142,27 @@
     TenantName
 );
 name_id!(
-    /// Availability zone.
+    /// Name of an availability zone.
     Zone
 );
 name_id!(
-    /// Region, a set of zones.
+    /// Name of a region, which is a set of zones.
     Region
 );
 name_id!(
-    /// Client of the replicated log, for duplicate detection.
+    /// Name of a client of the replicated log, for duplicate detection.
     ClientId
 );
 name_id!(
-    /// Operator-chosen identity of one change, so that a resend is recognised.
+    /// Operator-chosen identity of one change, by which a resend is recognised.
     ChangeId
 );
 name_id!(
-    /// Identity of one caller's request, unique over all routers.
+    /// Identity of a client's request, unique across all routers.
     RequestId
 );
 name_id!(
-    /// Caller-chosen key of a request that must run at most once.
+    /// Client-chosen key of a request that must run at most once.
     IdempotencyKey
 );
 name_id!(
@@ -187,9 +187,9 @@
 )]
 #[rkyv(derive(Debug, PartialEq, Eq, PartialOrd, Ord, Hash))]
 pub struct ReplicaKey {
-    /// The deployment that is loaded.
+    /// Deployment that is loaded.
     pub deployment: DeploymentName,
-    /// The runner that holds it.
+    /// Runner on which it is loaded.
     pub runner: RunnerId,
 }
 
@@ -199,29 +199,30 @@
     }
 }
 
-/// Stands between the name of an instance and its start; no name that came in a path of
-/// HTTP holds one.
-const LIFE_SEPARATOR: char = ' ';
+/// Separates the name of an instance from its start time. A name that arrived in an HTTP path
+/// can't contain a space.
+const INCARNATION_SEPARATOR: char = ' ';
 
 impl RunnerId {
-    /// The identity of one life of an instance that starts again under its name; `started`
-    /// is the Unix millisecond of its start.
+    /// Identity of one incarnation of an instance that restarts under the same name; `started`
+    /// is its start time in milliseconds since the Unix epoch.
     #[must_use]
     pub fn of_incarnation(name: &str, started: u64) -> Self {
-        Self(format!("{name}{LIFE_SEPARATOR}{started}"))
+        Self(format!("{name}{INCARNATION_SEPARATOR}{started}"))
     }
 
-    /// The name under which the instance itself goes.
+    /// Name of the instance, without the start time.
     #[must_use]
     pub fn name(&self) -> &str {
-        let parts = self.0.split_once(LIFE_SEPARATOR);
+        let parts = self.0.split_once(INCARNATION_SEPARATOR);
         parts.map_or(&self.0, |(name, _)| name)
     }
 
-    /// The Unix millisecond of its start, if it tells; a later one is a later life.
+    /// Start time of the incarnation in milliseconds since the Unix epoch, if the identity holds
+    /// one; a higher value means a later incarnation.
     #[must_use]
     pub fn started(&self) -> Option<u64> {
-        let (_, started) = self.0.split_once(LIFE_SEPARATOR)?;
+        let (_, started) = self.0.split_once(INCARNATION_SEPARATOR)?;
         started.parse().ok()
     }
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,8 +1,9 @@
 //! Identifiers, units, priority classes, outcomes and deployment documents
 //! shared by every crate.
 //!
-//! This crate knows no transport, no clock and no I/O. Everything here can be
-//! written as JSON (for people) and as `rkyv` bytes (between processes).
+//! Identifiers, times and documents are serialised as JSON (for operators, runners and tools) and
+//! as `rkyv` bytes (between processes). Nothing here does network or file I/O; the only clocks are
+//! those of [`time`].
 
 pub mod class;
 pub mod deployment;
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,9 +1,8 @@
-//! What became of a request, and why it was refused.
+//! Outcome of a request, and the reason for a refusal.
 
 use crate::time::Millis;
 
-/// What is known about a request's execution. Sent as the header
-/// [`OUTCOME_HEADER`].
+/// Whether a request was executed, as far as is known. Sent in the header [`OUTCOME_HEADER`].
 #[derive(
     Debug,
     Clone,
@@ -19,11 +18,11 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The request ran and its whole answer was given.
+    /// The request was executed and its whole response was delivered.
     Done,
-    /// It is proved that the request did not run.
+    /// The request was proved not to have been executed.
     NotRun,
-    /// The request may have run.
+    /// The request may have been executed.
     Unknown,
 }
 
@@ -42,7 +41,7 @@
     }
 }
 
-/// Why a request was refused.
+/// Reason for the refusal of a request.
 #[derive(
     Debug,
     Clone,
@@ -60,41 +59,41 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The body or a header could not be read.
+    /// The body or a header could not be parsed.
     InvalidRequest,
     /// The bearer token is missing or unknown.
     Unauthorized,
     /// The tenant may not use this deployment.
     Forbidden,
-    /// No such deployment, adapter or job.
+    /// The deployment, adapter or job does not exist.
     UnknownModel,
-    /// The same idempotency key came with another body.
+    /// The idempotency key was used before with another body.
     KeyConflict,
-    /// A request with this idempotency key is still running.
+    /// A request with the same idempotency key is still in progress.
     InProgress,
-    /// The body, or the answer, is larger than the limit.
+    /// The body or the response is larger than the limit.
     TooLarge,
     /// The tenant's rate limit is reached.
     RateLimited,
-    /// The waiting queue of the class or tenant is full.
+    /// The queue of the class or tenant is full.
     QueueFull,
     /// The deadline can't be met, or has passed.
     DeadlineExceeded,
     /// The router is stopping.
     ShuttingDown,
-    /// No capacity can be had: no runner fits or loading failed.
+    /// No capacity is available: no runner fits, or loading failed.
     NoCapacity,
     /// The replicated ledger has no quorum, so a claim can't be recorded.
     LedgerUnavailable,
-    /// A runner failed and no attempt is left.
+    /// A runner failed and no attempts are left.
     RunnerFailed,
-    /// The caller cancelled.
+    /// The client cancelled the request.
     Cancelled,
-    /// There is no such page.
+    /// The path does not exist.
     NotFound,
-    /// The page does not take this method.
+    /// The path does not support the method.
     MethodNotAllowed,
-    /// The request did not arrive whole in time.
+    /// The request was not received completely within the time limit.
     RequestTimeout,
     /// The headers are larger than the limit.
     HeadersTooLarge,
@@ -103,7 +102,7 @@
 }
 
 impl RefusalReason {
-    /// The HTTP status for this reason.
+    /// HTTP status for this reason.
     #[must_use]
     pub fn http_status(self) -> u16 {
         match self {
@@ -127,7 +126,7 @@
         }
     }
 
-    /// The machine-readable code in an error body and in metrics.
+    /// Machine-readable code in error bodies and metrics.
     #[must_use]
     pub fn code(self) -> &'static str {
         match self {
@@ -155,8 +154,8 @@
     }
 }
 
-/// A refusal as told to a caller. It is given as soon as it is known; when the
-/// caller should come back is told by `retry_after`.
+/// A refusal as sent to a client. It is sent as soon as it is certain that the request can't be
+/// served; `retry_after` says when a retry makes sense.
 #[derive(
     Debug,
     Clone,
@@ -169,18 +168,18 @@
     rkyv::Deserialize,
 )]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: RefusalReason,
-    /// Whether the request may have run.
+    /// Whether the request may have been executed.
     pub outcome: Outcome,
-    /// When to come back, if that is worth while.
+    /// Time after which a retry may succeed, if any.
     pub retry_after: Option<Millis>,
-    /// A sentence for a person.
+    /// Human-readable explanation.
     pub message: String,
 }
 
 impl Refusal {
-    /// A refusal of a request that is proved not to have run.
+    /// Creates a refusal of a request that was proved not to have been executed.
     #[must_use]
     pub fn not_run(reason: RefusalReason, message: impl Into<String>) -> Self {
         Self {
@@ -191,7 +190,7 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Creates a refusal of a request that may have been executed.
     #[must_use]
     pub fn unknown(reason: RefusalReason, message: impl Into<String>) -> Self {
         Self {
@@ -202,10 +201,10 @@
         }
     }
 
-    /// Adds the time after which a retry is worth while.
+    /// Sets the time after which a retry may succeed.
     #[must_use]
-    pub fn with_retry_after(mut self, length: Millis) -> Self {
-        self.retry_after = Some(length);
+    pub fn with_retry_after(mut self, delay: Millis) -> Self {
+        self.retry_after = Some(delay);
         self
     }
 }
--- a/crates/types/src/overview.rs
+++ b/crates/types/src/overview.rs
@@ -1,4 +1,4 @@
-//! `GET /admin/v1/overview`: a person's view of the whole, as JSON.
+//! `GET /admin/v1/overview`: the state of the whole system for operators, as JSON.
 
 use crate::fence::Fence;
 use crate::ids::{
@@ -7,27 +7,27 @@
 use crate::runner_api::MachineState;
 use crate::time::Millis;
 
-/// The whole, as one controller sees it.
+/// State of the whole system, as one controller sees it.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Overview {
-    /// The controller that answers.
+    /// Controller that sent this overview.
     pub controller: ControllerId,
-    /// Its role, such as `leader`.
+    /// Role of the controller, such as `leader`.
     pub role: String,
-    /// Its term.
+    /// Current term of the controller.
     pub term: Term,
     /// The leader, if known.
     pub leader: Option<ControllerId>,
-    /// Last log entry applied here.
+    /// Index of the last log entry that the controller has applied.
     pub applied: LogIndex,
-    /// Revision of the configuration.
+    /// Revision of the configuration at the controller.
     pub revision: Revision,
-    /// What the control group can bear; known to the leader alone.
+    /// Fault tolerance of the control group; reported by the leader only.
     #[serde(default)]
     pub control_group: Option<ControlGroupOverview>,
-    /// Routers that take this controller's feed.
+    /// Routers that are subscribed to the controller's feed.
     pub routers: Vec<RouterOverview>,
-    /// Runners on the record.
+    /// Registered runners.
     pub runners: Vec<RunnerOverview>,
     /// Deployments in force.
     pub deployments: Vec<DeploymentOverview>,
@@ -36,11 +36,11 @@
 /// The control group, as its leader sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ControlGroupOverview {
-    /// Voters.
+    /// Number of voters.
     pub voters: usize,
-    /// Voters that were heard lately.
+    /// Number of voters that recently answered the leader.
     pub live_voters: usize,
-    /// Live voters that may be lost while a quorum stays.
+    /// Number of live voters that may fail without loss of the quorum.
     pub bearable_losses: usize,
 }
 
@@ -51,11 +51,11 @@
     pub router: RouterId,
     /// Its zone.
     pub zone: Zone,
-    /// `ip:port` for callers.
+    /// `ip:port` for clients.
     pub http_address: String,
-    /// Revision that it confirmed.
+    /// Last revision that the router confirmed.
     pub revision: Revision,
-    /// Revisions that it lags behind.
+    /// Number of revisions by which the router is stale.
     pub behind: u64,
 }
 
@@ -70,47 +70,47 @@
     pub state: MachineState,
     /// Accelerator memory, in MiB.
     pub memory_mib: u64,
-    /// Memory reserved by decided replicas, in MiB.
+    /// Accelerator memory reserved for placed replicas, in MiB.
     pub reserved_mib: u64,
 }
 
-/// Whether a deployment can serve at once.
+/// Whether a deployment can serve requests without waiting for a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Warmth {
-    /// A replica is ready.
+    /// At least one replica is ready.
     Warm,
-    /// None is ready, one is being loaded.
+    /// No replica is ready, and at least one is being loaded.
     Loading,
-    /// None is loaded.
+    /// No replica is ready or being loaded.
     Cold,
 }
 
-/// One deployment with its queue.
+/// One deployment with the state of its queue.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct DeploymentOverview {
     /// The deployment.
     pub deployment: DeploymentName,
-    /// Whether it can serve at once.
+    /// Whether it can serve requests without waiting for a load.
     pub warmth: Warmth,
-    /// Replicas by place.
+    /// Replicas with their runners.
     pub replicas: Vec<ReplicaOverview>,
-    /// Replicas at the most.
+    /// Maximum number of replicas.
     pub max_replicas: u32,
-    /// Waiting requests of class critical.
+    /// Queued requests of class critical.
     pub waiting_critical: u32,
-    /// Waiting requests of class interactive.
+    /// Queued requests of class interactive.
     pub waiting_interactive: u32,
-    /// Waiting requests of class batch.
+    /// Queued requests of class batch.
     pub waiting_batch: u32,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Wait so far of the oldest waiting request, in milliseconds.
+    /// Time for which the oldest queued request has waited, in milliseconds.
     pub oldest_wait_ms: Millis,
 }
 
 impl DeploymentOverview {
-    /// Waiting requests of all classes.
+    /// Queued requests of all classes.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         self.waiting_critical + self.waiting_interactive + self.waiting_batch
@@ -124,6 +124,6 @@
     pub runner: RunnerId,
     /// `loading`, `ready` or `withdrawn`.
     pub phase: String,
-    /// Fence of the decision.
+    /// Fence of the decision that placed the replica.
     pub fence: Fence,
 }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,10 +1,12 @@
-//! Time as plain numbers, so that pure cores run under virtual and real time.
+//! Time as plain numbers, so that code without I/O runs under virtual time as well as real time.
+//!
+//! Invariant: arithmetic saturates; it never wraps around.
 
 use std::ops::{Add, Sub};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// A length of time in milliseconds.
+/// A duration in milliseconds.
 #[derive(
     Debug,
     Clone,
@@ -25,13 +27,13 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// A length of whole seconds.
+    /// A duration of whole seconds.
     #[must_use]
     pub const fn from_secs(seconds: u64) -> Self {
         Self(seconds * 1000)
     }
 
-    /// The length in seconds.
+    /// The duration in seconds.
     #[must_use]
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1000.0
@@ -44,10 +46,10 @@
     }
 }
 
-/// A moment on a monotonic clock, in milliseconds since the process (or the
-/// simulation) started; below zero before that. Peers tell ages of what they saw before
-/// this process started, and such moments must stay apart: taken for the start itself,
-/// they would all be one. Moments of different processes are never compared.
+/// A point on a monotonic clock, in milliseconds since the process (or the
+/// simulation) started; negative before that. Peers report ages of events that they observed before
+/// this process started. Clamping these to the start would make them all equal, so they keep
+/// distinct negative values. Timestamps of different processes are never compared.
 #[derive(
     Debug,
     Clone,
@@ -68,40 +70,40 @@
 pub struct Timestamp(pub i64);
 
 impl Timestamp {
-    /// The moment so many milliseconds after the start.
+    /// The timestamp `milliseconds` after the start.
     #[must_use]
     pub const fn at(milliseconds: u64) -> Self {
         Self(0_i64.saturating_add_unsigned(milliseconds))
     }
 
-    /// A moment that never comes.
+    /// A timestamp that is never reached.
     pub const NEVER: Timestamp = Timestamp(i64::MAX);
 
-    /// Time passed since `earlier`; zero when `earlier` lies ahead.
+    /// Time passed since `earlier`; zero when `earlier` is in the future.
     #[must_use]
     pub fn since(self, earlier: Timestamp) -> Millis {
         let passed = self.0.saturating_sub(earlier.0);
         Millis(u64::try_from(passed).unwrap_or_default())
     }
 
-    /// Number of the stretch of this length that it falls into; the first one after the start
-    /// is zero. A length of zero is taken for a millisecond.
+    /// Index of the window of this length that contains the timestamp; the first window after the
+    /// start has index 0, the one before it -1. A length of zero counts as one millisecond.
     #[must_use]
     pub fn window_index(self, length: Millis) -> i64 {
         self.0
             .div_euclid(i64::try_from(length.0.max(1)).unwrap_or(i64::MAX))
     }
 
-    /// When the stretch of this length began that it falls into.
+    /// Start of the window of this length that contains the timestamp.
     #[must_use]
     pub fn window_start(self, length: Millis) -> Timestamp {
         let length = i64::try_from(length.0.max(1)).unwrap_or(i64::MAX);
         Timestamp(self.0 - self.0.rem_euclid(length))
     }
 
-    /// The first moment at which `length` has surely passed since this one. A clock tells the
-    /// millisecond that has begun: counted from it, a time that a peer asked for would end up
-    /// to one too early.
+    /// The first timestamp at which at least `length` has passed since this one. Clock readings are
+    /// rounded down to whole milliseconds, so without the extra millisecond a delay that a peer
+    /// requested could end up to one millisecond early.
     #[must_use]
     pub fn surely_after(self, length: Millis) -> Timestamp {
         self + length + Millis(1)
@@ -132,8 +134,8 @@
     }
 }
 
-/// Wall-clock milliseconds since the Unix epoch. Only the leader reads the wall
-/// clock; it writes the value into the log, and replicas use the written one.
+/// Wall-clock time in milliseconds since the Unix epoch. Only the leader reads the wall
+/// clock; it writes the value into the log, and replicas use the value from the log.
 #[derive(
     Debug,
     Clone,
@@ -165,7 +167,7 @@
 }
 
 impl UnixMillis {
-    /// Time passed since `earlier`; zero when `earlier` lies ahead.
+    /// Time passed since `earlier`; zero when `earlier` is in the future.
     #[must_use]
     pub fn since(self, earlier: UnixMillis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
@@ -180,95 +182,100 @@
     }
 }
 
-/// The clock that goes on while the machine is suspended. The standard library's steady clock
-/// stands still then, so that whatever is valid for some time would be taken for younger
-/// than it is by a process that wakes.
+/// The clock that advances while the machine is suspended. The monotonic clock of the standard
+/// library stops during a suspend, so that a resumed process would underestimate the age of
+/// everything that expires.
 #[cfg(any(target_os = "linux", target_os = "android"))]
-const COUNTS_SLEEP: nix::time::ClockId = nix::time::ClockId::CLOCK_BOOTTIME;
+const SUSPEND_AWARE_CLOCK: nix::time::ClockId = nix::time::ClockId::CLOCK_BOOTTIME;
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
-const COUNTS_SLEEP: nix::time::ClockId = nix::time::ClockId::CLOCK_MONOTONIC;
+const SUSPEND_AWARE_CLOCK: nix::time::ClockId = nix::time::ClockId::CLOCK_MONOTONIC;
 
-/// Time since the machine's start.
-fn since_machine_start() -> Duration {
-    let read = nix::time::clock_gettime(COUNTS_SLEEP);
-    // Every kernel that this runs on has the clock.
-    read.map(Duration::from).unwrap_or_default()
+/// Time since the machine booted.
+fn since_boot() -> Duration {
+    let reading = nix::time::clock_gettime(SUSPEND_AWARE_CLOCK);
+    // The read does not fail: every supported kernel has this clock.
+    reading.map(Duration::from).unwrap_or_default()
 }
 
-/// Reads a process's monotonic clock as [`Timestamp`]s. It counts time in which the machine
-/// is suspended: everything that expires is judged by it.
+/// The monotonic clock of a process, read as [`Timestamp`]s. It includes the time during which the
+/// machine was suspended, since all expiry times are compared with it.
 #[derive(Debug, Clone, Copy)]
 pub struct MonotonicClock {
     origin: Duration,
-    /// By how much a test lets it run ahead, in milliseconds.
-    ahead: Option<&'static AtomicU64>,
+    /// Time that a test has added to the clock, in milliseconds.
+    added_ms: Option<&'static AtomicU64>,
 }
 
 impl MonotonicClock {
-    /// Starts a clock at zero.
+    /// Starts a clock at timestamp 0.
     #[must_use]
     pub fn start() -> Self {
         Self {
-            origin: since_machine_start(),
-            ahead: None,
+            origin: since_boot(),
+            added_ms: None,
         }
     }
 
-    /// A clock that a test lets go on at once, as over a sleep: by what it adds to the number,
-    /// in milliseconds. The number is never given back to the system.
+    /// A clock that a test can move forward, as a suspend of the machine does, by increasing the
+    /// returned number of milliseconds. The number is leaked, so that it lives as long as the
+    /// process.
     #[must_use]
     pub fn skippable() -> (Self, &'static AtomicU64) {
-        let ahead: &'static AtomicU64 = Box::leak(Box::default());
+        let added_ms: &'static AtomicU64 = Box::leak(Box::default());
         let clock = Self {
-            ahead: Some(ahead),
+            added_ms: Some(added_ms),
             ..Self::start()
         };
-        (clock, ahead)
+        (clock, added_ms)
     }
 
-    /// The present moment.
+    /// The current timestamp.
     #[must_use]
     pub fn now(&self) -> Timestamp {
-        let elapsed = since_machine_start().saturating_sub(self.origin);
+        let elapsed = since_boot().saturating_sub(self.origin);
         let elapsed = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
-        let ahead = self.ahead.map_or(0, |ahead| ahead.load(Ordering::Relaxed));
-        Timestamp::default() + Millis(elapsed) + Millis(ahead)
+        let added_ms = self
+            .added_ms
+            .map_or(0, |added| added.load(Ordering::Relaxed));
+        Timestamp::default() + Millis(elapsed) + Millis(added_ms)
     }
 }
 
-/// Finds out that the machine was suspended, by two clocks of which one stood still.
+/// Detects that the machine was suspended, by comparing a clock that advances during a suspend with
+/// one that does not.
 #[derive(Debug)]
 pub struct SuspendDetector {
-    steady: Instant,
-    began: Timestamp,
-    /// How far the counting clock was ahead of the steady one.
-    ahead: Millis,
+    monotonic_start: Instant,
+    start: Timestamp,
+    /// Total suspended time that has been reported.
+    reported: Millis,
 }
 
-/// Shorter differences are jitter between two readings.
-const SHORTEST_SLEEP: Millis = Millis(50);
+/// Shorter differences are jitter between the readings of the two clocks.
+const MIN_SUSPEND: Millis = Millis(50);
 
 impl SuspendDetector {
-    /// Begins to watch.
+    /// Starts the detection; suspends before this call are not reported.
     #[must_use]
     pub fn start(clock: &MonotonicClock) -> Self {
         Self {
-            steady: Instant::now(),
-            began: clock.now(),
-            ahead: Millis(0),
+            monotonic_start: Instant::now(),
+            start: clock.now(),
+            reported: Millis(0),
         }
     }
 
-    /// How long the machine has been suspended since the last look, if it was.
+    /// Time for which the machine was suspended since the last reported suspend, if it was.
     pub fn check(&mut self, clock: &MonotonicClock) -> Option<Millis> {
-        let counted = clock.now().since(self.began);
-        let steady = u64::try_from(self.steady.elapsed().as_millis()).unwrap_or(u64::MAX);
-        let ahead = Millis(counted.0.saturating_sub(steady));
-        let slept = Millis(ahead.0.saturating_sub(self.ahead.0));
-        if slept < SHORTEST_SLEEP {
+        let elapsed = clock.now().since(self.start);
+        let running = self.monotonic_start.elapsed().as_millis();
+        let running = u64::try_from(running).unwrap_or(u64::MAX);
+        let total = Millis(elapsed.0.saturating_sub(running));
+        let suspended = Millis(total.0.saturating_sub(self.reported.0));
+        if suspended < MIN_SUSPEND {
             return None;
         }
-        self.ahead = ahead;
-        Some(slept)
+        self.reported = total;
+        Some(suspended)
     }
 }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,9 +1,12 @@
-//! One connection between two processes.
+//! Authenticated connections between two processes over TCP.
+//!
+//! Invariant: a [`Connection`] exists only after both ends have proved that they hold the cluster
+//! key.
 
 use crate::error::WireError;
 use crate::frame::{Frame, HEADER_BYTES, PREVIOUS_RELEASE_VERSION, decode, decode_header};
 use crate::handshake::{
-    ClusterKey, NONCE_BYTES, PROOF_BYTES, PeerIdentity, common_version, told_identity,
+    ClusterKey, NONCE_BYTES, PROOF_BYTES, PeerIdentity, common_version, versioned_identity,
 };
 use crate::message::Message;
 use crate::previous_release;
@@ -14,11 +17,11 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Longest time for connecting and for the handshake.
+/// Time limit for connecting and the handshake together.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 4096;
-/// Longest identity, in bytes.
+/// Maximum length of an identity, in bytes.
 const MAX_IDENTITY_BYTES: usize = 1024;
 
 const DIALLER: &[u8] = b"courseshunt dialler";
@@ -27,9 +30,9 @@
 /// An authenticated connection.
 #[derive(Debug)]
 pub struct Connection {
-    /// Who is at the other end.
+    /// Identity that the peer claimed in the handshake.
     pub peer: PeerIdentity,
-    /// Version of the protocol that both ends speak.
+    /// Protocol version that both ends use.
     pub version: u8,
     /// The sending half.
     pub sender: Sender,
@@ -54,7 +57,8 @@
 }
 
 impl Connection {
-    /// Whether the peer is of an earlier build: see [`crate::previous_release`].
+    /// Whether the peer uses the protocol version of the previous release: see
+    /// [`crate::previous_release`].
     #[must_use]
     pub fn is_previous_release(&self) -> bool {
         self.version == PREVIOUS_RELEASE_VERSION
@@ -62,7 +66,7 @@
 }
 
 impl Sender {
-    /// Sends one message; one for which the peer's build has no word is left out.
+    /// Sends one message. A message that the peer's protocol version can't express is skipped.
     ///
     /// # Errors
     /// When the message is too long or the connection is broken.
@@ -75,7 +79,7 @@
         self.send_frame(&frame).await
     }
 
-    /// Sends a message that is encoded already, likewise.
+    /// Sends a message that is already encoded, like [`Self::send`].
     ///
     /// # Errors
     /// When the connection is broken.
@@ -84,12 +88,12 @@
             return Ok(());
         };
         let sent = self.half.write_all(bytes).await;
-        sent.map_err(|source| self.broken(source))?;
+        sent.map_err(|source| self.io_error(source))?;
         traffic::count_sent(frame.kind(), bytes.len());
         Ok(())
     }
 
-    fn broken(&self, source: std::io::Error) -> WireError {
+    fn io_error(&self, source: std::io::Error) -> WireError {
         WireError::Io {
             step: "send",
             peer: self.peer.clone(),
@@ -102,7 +106,7 @@
     /// Receives one message; `None` when the peer closed the connection.
     ///
     /// # Errors
-    /// When the connection is broken or a frame can't be read.
+    /// When the connection is broken or a frame can't be decoded.
     pub async fn receive(&mut self) -> Result<Option<Message>, WireError> {
         let Some((content, checksum)) = self.receive_frame().await? else {
             return Ok(None);
@@ -111,28 +115,29 @@
             PREVIOUS_RELEASE_VERSION => previous_release::decode(&content, checksum),
             _ => decode(&content, checksum),
         };
-        let message = message.map_err(|problem| self.faulty(problem))?;
+        let message = message.map_err(|problem| self.protocol_error(problem))?;
         traffic::count_received(&message, HEADER_BYTES + content.len());
         Ok(Some(message))
     }
 
-    /// The content of the next frame and its checksum.
+    /// Reads the next frame and returns its packed content and checksum; `None` when the peer closed
+    /// the connection.
     async fn receive_frame(&mut self) -> Result<Option<(Vec<u8>, u32)>, WireError> {
         let mut header = [0_u8; HEADER_BYTES];
         match self.half.read_exact(&mut header).await {
             Ok(_) => {}
             Err(error) if error.kind() == std::io::ErrorKind::UnexpectedEof => return Ok(None),
-            Err(source) => return Err(self.broken(source)),
+            Err(source) => return Err(self.io_error(source)),
         }
         let header = decode_header(&header, self.version);
-        let header = header.map_err(|problem| self.faulty(problem))?;
+        let header = header.map_err(|problem| self.protocol_error(problem))?;
         let mut content = vec![0_u8; header.length];
         let read = self.half.read_exact(&mut content).await;
-        read.map_err(|source| self.broken(source))?;
+        read.map_err(|source| self.io_error(source))?;
         Ok(Some((content, header.checksum)))
     }
 
-    fn broken(&self, source: std::io::Error) -> WireError {
+    fn io_error(&self, source: std::io::Error) -> WireError {
         WireError::Io {
             step: "receive",
             peer: self.peer.clone(),
@@ -140,7 +145,7 @@
         }
     }
 
-    fn faulty(&self, problem: String) -> WireError {
+    fn protocol_error(&self, problem: String) -> WireError {
         WireError::Protocol {
             step: "receive",
             peer: self.peer.clone(),
@@ -149,10 +154,10 @@
     }
 }
 
-/// Connects to `address` and proves the key both ways.
+/// Connects to `address` and performs the handshake, within `HANDSHAKE_TIMEOUT`.
 ///
 /// # Errors
-/// When the peer can't be reached, is silent, or does not know the key.
+/// When the peer can't be reached, does not answer in time, or does not hold the cluster key.
 pub async fn connect(
     address: SocketAddr,
     key: &ClusterKey,
@@ -161,11 +166,10 @@
     connect_from(None, address, key, identity).await
 }
 
-/// Like [`connect`], from the IP number `source`; `None` lets the system
-/// choose.
+/// Like [`connect`], from the local IP address `source`; with `None` the operating system chooses.
 ///
 /// # Errors
-/// As [`connect`], and when `source` is no address of this machine.
+/// As [`connect`], and when `source` is not an address of this machine.
 pub async fn connect_from(
     source: Option<IpAddr>,
     address: SocketAddr,
@@ -175,7 +179,7 @@
     connect_within(HANDSHAKE_TIMEOUT, source, address, key, identity).await
 }
 
-/// Like [`connect_from`], within `limit`.
+/// Like [`connect_from`], with `limit` as the time limit for connecting and the handshake.
 ///
 /// # Errors
 /// As [`connect_from`]; [`WireError::TimedOut`] when the limit is reached.
@@ -186,7 +190,7 @@
     key: &ClusterKey,
     identity: &PeerIdentity,
 ) -> Result<Connection, WireError> {
-    let work = async {
+    let connecting = async {
         let stream = dial(source, address).await;
         let stream = stream.map_err(|source| WireError::Io {
             step: "connect",
@@ -195,15 +199,15 @@
         })?;
         Handshake::new(stream, address, key).dial(identity).await
     };
-    in_time(limit, "connect", address, work).await
+    with_timeout(limit, "connect", address, connecting).await
 }
 
-/// Listens for peers, with room for a whole region that connects at once: a
-/// connection that finds no room is tried again by the system only a second
-/// later.
+/// Listens for peers, with a backlog that is large enough for all processes of a region connecting
+/// at once. When the backlog is full, the peer's operating system retries the connection only after
+/// a second.
 ///
 /// # Errors
-/// When the address is taken or not of this machine.
+/// When the address is in use or is not an address of this machine.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = socket_for(address)?;
     socket.set_reuseaddr(true)?;
@@ -227,10 +231,11 @@
     }
 }
 
-/// Answers a dialling peer on an accepted stream and proves the key both ways.
+/// Performs the handshake with a dialling peer on an accepted stream, within
+/// `HANDSHAKE_TIMEOUT`.
 ///
 /// # Errors
-/// When the peer is silent or does not know the key.
+/// When the peer does not answer in time or does not hold the cluster key.
 pub async fn accept(
     stream: TcpStream,
     address: SocketAddr,
@@ -238,7 +243,7 @@
     identity: &PeerIdentity,
 ) -> Result<Connection, WireError> {
     let handshake = Handshake::new(stream, address, key);
-    in_time(
+    with_timeout(
         HANDSHAKE_TIMEOUT,
         "accept",
         address,
@@ -247,19 +252,19 @@
     .await
 }
 
-async fn in_time(
+async fn with_timeout(
     limit: Duration,
     step: &'static str,
     address: SocketAddr,
-    work: impl Future<Output = Result<Connection, WireError>>,
+    operation: impl Future<Output = Result<Connection, WireError>>,
 ) -> Result<Connection, WireError> {
     let peer = address.to_string();
-    let finished = tokio::time::timeout(limit, work).await;
+    let finished = tokio::time::timeout(limit, operation).await;
     finished.unwrap_or(Err(WireError::TimedOut { step, peer }))
 }
 
-/// A peer that has proved the key.
-struct Introduced {
+/// A peer that has proved that it holds the cluster key.
+struct AuthenticatedPeer {
     peer: PeerIdentity,
     version: u8,
 }
@@ -312,8 +317,8 @@
         identity: &PeerIdentity,
     ) -> Result<(), WireError> {
         let identity = rkyv::to_bytes::<rkyv::rancor::Error>(identity);
-        let identity = identity.map_err(|error| self.faulty(error.to_string()))?;
-        let identity = told_identity(&identity);
+        let identity = identity.map_err(|error| self.protocol_error(error.to_string()))?;
+        let identity = versioned_identity(&identity);
         let proof = self.key.prove(role, nonces, &identity);
         let length = identity.len() as u32;
         self.write(&length.to_le_bytes()).await?;
@@ -325,27 +330,27 @@
         &mut self,
         role: &[u8],
         nonces: [&[u8]; 2],
-    ) -> Result<Introduced, WireError> {
+    ) -> Result<AuthenticatedPeer, WireError> {
         let length = self.read(4).await?;
         let length = u32::from_le_bytes([length[0], length[1], length[2], length[3]]) as usize;
         if length > MAX_IDENTITY_BYTES {
-            return Err(self.faulty(format!("an identity of {length} bytes is too long")));
+            return Err(self.protocol_error(format!("an identity of {length} bytes is too long")));
         }
         let identity = self.read(length).await?;
         let proof = self.read(PROOF_BYTES).await?;
         if !self.key.verify(role, nonces, &identity, &proof) {
-            return Err(self.faulty("the peer does not know the cluster key".to_owned()));
+            return Err(self.protocol_error("the peer does not hold the cluster key".to_owned()));
         }
         let mut aligned = rkyv::util::AlignedVec::<16>::with_capacity(length);
         aligned.extend_from_slice(&identity);
         let peer = rkyv::from_bytes::<PeerIdentity, rkyv::rancor::Error>(&aligned);
-        let peer = peer.map_err(|error| self.faulty(error.to_string()))?;
+        let peer = peer.map_err(|error| self.protocol_error(error.to_string()))?;
         let version = common_version(&identity);
-        Ok(Introduced { peer, version })
+        Ok(AuthenticatedPeer { peer, version })
     }
 
-    fn finish(self, introduced: Introduced) -> Connection {
-        let Introduced { peer, version } = introduced;
+    fn finish(self, authenticated: AuthenticatedPeer) -> Connection {
+        let AuthenticatedPeer { peer, version } = authenticated;
         let name = format!("{peer} at {}", self.peer);
         let (read, write) = self.stream.into_split();
         Connection {
@@ -366,17 +371,17 @@
 
     async fn write(&mut self, bytes: &[u8]) -> Result<(), WireError> {
         let written = self.stream.write_all(bytes).await;
-        written.map_err(|source| self.broken(source))
+        written.map_err(|source| self.io_error(source))
     }
 
     async fn read(&mut self, length: usize) -> Result<Vec<u8>, WireError> {
         let mut bytes = vec![0_u8; length];
         let read = self.stream.read_exact(&mut bytes).await;
-        read.map_err(|source| self.broken(source))?;
+        read.map_err(|source| self.io_error(source))?;
         Ok(bytes)
     }
 
-    fn broken(&self, source: std::io::Error) -> WireError {
+    fn io_error(&self, source: std::io::Error) -> WireError {
         WireError::Io {
             step: "handshake",
             peer: self.peer.clone(),
@@ -384,7 +389,7 @@
         }
     }
 
-    fn faulty(&self, problem: String) -> WireError {
+    fn protocol_error(&self, problem: String) -> WireError {
         WireError::Protocol {
             step: "handshake",
             peer: self.peer.clone(),
--- a/crates/wire/src/dial_limit.rs
+++ b/crates/wire/src/dial_limit.rs
@@ -1,49 +1,49 @@
-//! How long to wait for a connection. Pure.
+//! Time limit of connection attempts. It does no I/O and reads no clock.
 //!
-//! A machine that is down is silent: a connection to it hangs, and the system
-//! repeats the lost first packet only after a second. So tries are short, and
-//! each takes twice as long as the one before, up to a limit, after which they
-//! are short again: a peer that comes back is reached soon, and one that is only
-//! slow by one of the long tries.
+//! A machine that is down does not answer: an attempt to connect to it hangs, and the operating
+//! system retransmits the lost first packet only after a second. Attempts are therefore short at
+//! first, and the limit doubles after each time-out up to a maximum, after which it starts over. A
+//! peer that comes back is reached soon by a short attempt, and one that is only slow is reached by
+//! one of the long attempts.
 
 use std::time::Duration;
 
-/// Longest wait of the first try.
-const FIRST: Duration = Duration::from_millis(120);
+/// Time limit of the first attempt.
+const INITIAL_LIMIT: Duration = Duration::from_millis(120);
 
-/// See the module.
+/// Time limit of the next attempt to connect to one peer; see the module.
 #[derive(Debug, Clone, Copy)]
 pub struct DialLimit {
-    present: Duration,
-    longest: Duration,
+    current: Duration,
+    max: Duration,
 }
 
 impl DialLimit {
-    /// Starts with short tries that grow to `longest`.
+    /// Starts with short attempts; the limit grows up to `max`.
     #[must_use]
-    pub fn growing_to(longest: Duration) -> Self {
+    pub fn growing_to(max: Duration) -> Self {
         Self {
-            present: FIRST.min(longest),
-            longest,
+            current: INITIAL_LIMIT.min(max),
+            max,
         }
     }
 
-    /// How long the next try may take.
+    /// Time limit of the next attempt.
     #[must_use]
     pub fn present(&self) -> Duration {
-        self.present
+        self.current
     }
 
-    /// A try took too long: the next one may take twice as long.
+    /// An attempt timed out: doubles the limit, or starts over after an attempt with the maximum.
     pub fn timed_out(&mut self) {
-        self.present = match self.present < self.longest {
-            true => (self.present * 2).min(self.longest),
-            false => FIRST.min(self.longest),
+        self.current = match self.current < self.max {
+            true => (self.current * 2).min(self.max),
+            false => INITIAL_LIMIT.min(self.max),
         };
     }
 
-    /// A connection was made: short tries again.
+    /// A connection was established: starts over with short attempts.
     pub fn succeeded(&mut self) {
-        self.present = FIRST.min(self.longest);
+        self.current = INITIAL_LIMIT.min(self.max);
     }
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,4 +1,4 @@
-//! Wire errors, which name the step and the peer.
+//! Errors of connections. Each names the step that failed and the peer.
 
 use std::io;
 
@@ -6,32 +6,32 @@
 #[derive(Debug, snafu::Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum WireError {
-    /// The connection failed.
+    /// Reading from or writing to the connection failed.
     #[snafu(display("wire: {step} with {peer}: {source}"))]
     Io {
-        /// What was being done.
+        /// Step that failed, such as `handshake`.
         step: &'static str,
-        /// The peer.
+        /// Identity or address of the peer.
         peer: String,
-        /// The cause.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The peer sent something that is not allowed.
+    /// The peer violated the protocol, or a message could not be encoded.
     #[snafu(display("wire: {step} with {peer}: {problem}"))]
     Protocol {
-        /// What was being done.
+        /// Step that failed, such as `handshake`.
         step: &'static str,
-        /// The peer.
+        /// Identity or address of the peer.
         peer: String,
-        /// What is wrong.
+        /// Description of the violation.
         problem: String,
     },
-    /// The peer was silent for too long.
+    /// The peer did not answer within the time limit.
     #[snafu(display("wire: {step} with {peer}: no answer in time"))]
     TimedOut {
-        /// What was being done.
+        /// Step that failed, such as `handshake`.
         step: &'static str,
-        /// The peer.
+        /// Identity or address of the peer.
         peer: String,
     },
 }
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,17 +1,19 @@
-//! Mutual proof of the cluster key: HMAC-SHA-256 over both sides' nonces.
+//! Mutual proof of the cluster key: HMAC-SHA-256 over role, both nonces and identity.
+//!
+//! Invariant: an identity and a version are accepted only together with a proof that covers them.
 
 use crate::frame::{PREVIOUS_RELEASE_VERSION, PROTOCOL_VERSION};
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// Bytes of a nonce.
+/// Length of a nonce, in bytes.
 pub(crate) const NONCE_BYTES: usize = 32;
-/// Bytes of a proof.
+/// Length of a proof, in bytes.
 pub(crate) const PROOF_BYTES: usize = 32;
-/// Shortest key, in bytes.
+/// Minimum length of a cluster key, in bytes.
 pub const MIN_KEY_BYTES: usize = 16;
 
-/// The key that all processes of a cluster share.
+/// The secret key that all processes of a cluster share. `Debug` does not show it.
 #[derive(Clone)]
 pub struct ClusterKey(Vec<u8>);
 
@@ -22,7 +24,8 @@
 }
 
 impl ClusterKey {
-    /// A key from its bytes, at least [`MIN_KEY_BYTES`](crate::MIN_KEY_BYTES) long.
+    /// Creates a key; `None` when `bytes` is shorter than
+    /// [`MIN_KEY_BYTES`](crate::MIN_KEY_BYTES).
     #[must_use]
     pub fn new(bytes: &[u8]) -> Option<Self> {
         (bytes.len() >= MIN_KEY_BYTES).then(|| Self(bytes.to_vec()))
@@ -54,12 +57,13 @@
     }
 }
 
-/// Who a process says it is; proved by the handshake to know the cluster key.
+/// Identity that a process claims in the handshake. The proof shows that the process holds the
+/// cluster key, not that it is the only one with this identity.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum PeerIdentity {
     /// A member of the control group.
     Controller(courseshunt_types::ControllerId),
-    /// A router, with its incarnation.
+    /// A router and its incarnation.
     Router(courseshunt_types::RouterId, courseshunt_types::Incarnation),
 }
 
@@ -72,26 +76,27 @@
     }
 }
 
-/// Stands before the identity of a process that tells which version it speaks. A build that
-/// tells none reads an identity from the end of its bytes, and passes over what is before.
-const TELLS_VERSION: [u8; 16] = *b"courseshunt wire";
-/// Bytes before such an identity: the mark, the version, and room, so that the identity stays
-/// aligned.
+/// Marks an identity that is preceded by the sender's protocol version. The previous release sends
+/// no version; it reads an identity from the end of the bytes and ignores what precedes it.
+const VERSION_MARK: [u8; 16] = *b"courseshunt wire";
+/// Length of the prefix of such an identity, in bytes: the mark, the version, and padding that
+/// keeps the identity aligned.
 const PREFIX_BYTES: usize = 32;
 
-/// An identity as it is sent, with the highest version that this build speaks.
-pub(crate) fn told_identity(identity: &[u8]) -> Vec<u8> {
-    let mut told = Vec::with_capacity(PREFIX_BYTES + identity.len());
-    told.extend_from_slice(&TELLS_VERSION);
-    told.push(PROTOCOL_VERSION);
-    told.resize(PREFIX_BYTES, 0);
-    told.extend_from_slice(identity);
-    told
+/// Puts the highest protocol version that this build supports in front of an identity.
+pub(crate) fn versioned_identity(identity: &[u8]) -> Vec<u8> {
+    let mut prefixed = Vec::with_capacity(PREFIX_BYTES + identity.len());
+    prefixed.extend_from_slice(&VERSION_MARK);
+    prefixed.push(PROTOCOL_VERSION);
+    prefixed.resize(PREFIX_BYTES, 0);
+    prefixed.extend_from_slice(identity);
+    prefixed
 }
 
-/// The version in which to speak with a peer that sent this identity.
-pub(crate) fn common_version(told: &[u8]) -> u8 {
-    let version = told.strip_prefix(TELLS_VERSION.as_slice());
+/// The protocol version to use with a peer that sent this identity: the lower of the two highest
+/// ones, or that of the previous release when the peer sent no version.
+pub(crate) fn common_version(identity: &[u8]) -> u8 {
+    let version = identity.strip_prefix(VERSION_MARK.as_slice());
     let version = version.and_then(|rest| rest.first().copied());
     version.map_or(PREVIOUS_RELEASE_VERSION, |version| {
         version.min(PROTOCOL_VERSION)
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,13 +1,13 @@
 //! Framed, authenticated connections between the processes and the messages
 //! they carry.
 //!
-//! Invariant: no message is handed on before both sides have proved that they
-//! know the cluster key. A frame that can't be read closes its connection and
-//! harms nothing else.
+//! Invariant: no message is delivered before both ends have proved that they
+//! hold the cluster key. A frame that can't be decoded closes its connection and
+//! affects nothing else.
 
 #![allow(
     missing_docs,
-    reason = "the fields of the archived enums that rkyv derives carry no docs"
+    reason = "the fields of the archived enums that rkyv generates have no doc comments"
 )]
 
 pub mod compression;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,8 @@
-//! Messages between the processes.
+//! Messages between the processes of a cluster.
+//!
+//! Invariant: the order of the variants of [`Message`] is their number on the wire, so new ones are
+//! appended. Any other change of an archived type takes a new
+//! [`PROTOCOL_VERSION`](crate::PROTOCOL_VERSION).
 
 use courseshunt_consensus::{ConsensusMessage, MembershipChange};
 use courseshunt_queue::{
@@ -16,7 +20,7 @@
 
 use std::collections::BTreeSet;
 
-/// Number of a call on one connection; its reply has the same.
+/// Number of a call, unique on one connection; the reply carries the same number.
 #[derive(
     Debug,
     Clone,
@@ -32,280 +36,281 @@
 )]
 pub struct CallId(pub u64);
 
-/// One message.
+/// One message, the content of one frame.
 #[derive(Debug, Clone, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub enum Message {
-    /// Controller to controller: consensus of one group.
+    /// Controller to controller: consensus traffic of one group.
     Consensus {
-        /// The group.
+        /// The consensus group.
         group: GroupId,
-        /// The message.
+        /// The consensus message.
         message: ConsensusMessage,
     },
-    /// Controller to controller: a command for the leader, on behalf of a client.
+    /// Controller to controller: a client's command, forwarded to the leader.
     Forward {
-        /// Comes back in the reply.
+        /// Echoed in the reply.
         call: CallId,
-        /// The group.
+        /// The consensus group.
         group: GroupId,
         /// `rkyv` bytes of a `CommandEnvelope`.
         envelope: Vec<u8>,
     },
     /// Answers [`Message::Forward`].
     ForwardReply {
-        /// The call.
+        /// Id of the call that this answers.
         call: CallId,
-        /// The reply, or `None` when the receiver can't tell.
+        /// The reply, or `None` when the outcome is unknown to the receiver.
         reply: Option<CommandReply>,
     },
-    /// Router to controller: asks for the feed, from a revision on.
+    /// Router to controller: subscribes to the feed, starting after a revision.
     Subscribe(Subscribe),
-    /// Controller to router: configuration.
+    /// Controller to router: a change of the configuration, or all of it.
     Configuration(ConfigurationUpdate),
-    /// Controller to router: replicas and runners.
+    /// Controller to router: changed replicas and runners, or all of them.
     Placement(PlacementUpdate),
     /// Controller to router: the live routers.
     Fleet(FleetUpdate),
-    /// Controller to router: how old the feed's confirmation is.
+    /// Controller to router: age of the feed's last confirmation by a quorum.
     FeedConfirmation {
-        /// Time since the controller knew itself in contact with a quorum.
+        /// Time since the controller last confirmed contact with a quorum.
         age: Millis,
-        /// Revision of the configuration at that time.
+        /// Revision of the configuration at the time of that contact.
         revision: Revision,
     },
-    /// Router to controller: this revision is in force here.
+    /// Router to controller: a revision is in force at the router.
     Confirmed {
-        /// The revision.
+        /// Revision in force.
         revision: Revision,
     },
-    /// Router to controller: demand of the queues it owns.
+    /// Router to controller: demand of the queues that the router owns.
     Demand {
         /// One report for each queue whose demand changed.
         reports: Vec<DemandReport>,
     },
     /// Router to controller: a command for the ledger.
     Ledger {
-        /// Comes back in the reply.
+        /// Echoed in the reply.
         call: CallId,
         /// The group that holds the key.
         group: GroupId,
-        /// Number of the command; a resend has the same.
+        /// Sequence number of the command; a resend carries the same.
         sequence: ClientSequence,
-        /// The router has all replies below this number.
+        /// The router has received all replies below this number.
         acknowledged: ClientSequence,
-        /// The command.
+        /// The ledger command.
         command: Command,
     },
     /// Answers [`Message::Ledger`].
     LedgerReply {
-        /// The call.
+        /// Id of the call that this answers.
         call: CallId,
-        /// The result.
+        /// Result of the command.
         result: LedgerResult,
     },
-    /// Router to queue owner: a ticket.
+    /// Router to queue owner: a ticket for a queued request.
     Offer {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The ticket.
+        /// Ticket of the request.
         ticket: Ticket,
     },
-    /// Router to queue owner: a waiting request is gone.
+    /// Router to queue owner: a queued request has been cancelled or has ended.
     CancelTicket {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// Queue owner to router: leave to send a request.
+    /// Queue owner to router: permission to send a request.
     Granted {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// Generation of the ownership.
+        /// Generation of the queue's ownership.
         epoch: Epoch,
-        /// The grant.
+        /// The permission, with its runner.
         grant: Grant,
     },
     /// Queue owner to router: a ticket is refused.
     Refused {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The refusal.
+        /// The refused ticket and the reason.
         refusal: TicketRefusal,
     },
     /// Router to queue owner: a granted request has started.
     GrantStarted {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The grant.
+        /// Id of the grant.
         grant: GrantId,
     },
     /// Router to queue owner: a grant's slot is free again.
     GrantReturned {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The grant.
+        /// Id of the grant.
         grant: GrantId,
-        /// How the attempt ended; tells the owner about the runner's health.
+        /// How the attempt ended; the owner updates the runner's health from it.
         outcome: AttemptOutcome,
     },
-    /// Queue owner to router: this is not my queue (any more).
+    /// Queue owner to router: the sender does not own this queue, or no longer does.
     NotOwner {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
         /// Tickets that must be offered to the owner again.
         requests: Vec<RequestId>,
     },
-    /// Router to queue owner: these grants run here, and no others.
+    /// Router to queue owner: the complete list of grants that run at the router.
     AdoptGrants {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The grants.
+        /// All running grants of the queue at this router.
         grants: Vec<RunningGrant>,
     },
-    /// Queue owner to router: the owner stops; its queues have other owners.
+    /// Queue owner to router: the owner is stopping, and its queues have new owners.
     OwnerLeaving,
-    /// Router to queue owner: are you there?
+    /// Router to queue owner: liveness check.
     Ping,
     /// Answers [`Message::Ping`].
     Pong,
-    /// Controller to leading controller: asks for an index at which a read is
+    /// Controller to leading controller: requests an index at which a read is
     /// linearizable.
     ReadIndex {
-        /// Comes back in the reply.
+        /// Echoed in the reply.
         call: CallId,
-        /// The group.
+        /// The consensus group.
         group: GroupId,
     },
     /// Answers [`Message::ReadIndex`].
     ReadIndexReply {
-        /// The call.
+        /// Id of the call that this answers.
         call: CallId,
-        /// The index, or `None` when the receiver can't tell.
+        /// The index, or `None` when the receiver can't confirm one.
         index: Option<LogIndex>,
     },
-    /// Controller to leading controller: demand that a router reported here.
+    /// Controller to leading controller: demand that a router reported to the sender.
     RelayedDemand {
-        /// The router.
+        /// Router that reported the demand.
         router: RouterId,
-        /// Its reports.
+        /// Demand reports of the router.
         reports: Vec<DemandReport>,
-        /// Whether the router has left; earlier reports no longer count.
+        /// Whether the router has left, which invalidates its previous reports.
         gone: bool,
     },
-    /// Controller to the controller that connected: the connection is alive.
+    /// Controller to the controller that opened the connection: keep-alive.
     PeerAlive,
-    /// Controller to router: the queued jobs that it should execute.
+    /// Controller to router: the queued jobs that the router is to execute.
     Jobs {
-        /// The earliest deadlines first; replaces what was told before.
+        /// Ordered by deadline, earliest first; replaces the jobs sent before.
         jobs: Vec<QueuedJob>,
     },
-    /// Router to controller: it stops as planned and owns no queues any more.
+    /// Router to controller: the router is shutting down as planned and owns no queues any more.
     Leaving,
-    /// Controller to router: stop as planned.
+    /// Controller to router: drain, then shut down.
     Drain,
-    /// Controller to controller: routers that follow the sender.
+    /// Controller to controller: routers that are subscribed to the sender's feed.
     RouterReport(RouterReport),
-    /// Controller to leading controller: an operator's change of the membership.
+    /// Controller to leading controller: a membership change requested by an operator.
     ChangeMembership {
-        /// Comes back in the reply.
+        /// Echoed in the reply.
         call: CallId,
-        /// The group.
+        /// The consensus group.
         group: GroupId,
-        /// The change.
+        /// The requested change.
         change: MembershipChange,
     },
     /// Answers [`Message::ChangeMembership`].
     ChangeMembershipReply {
-        /// The call.
+        /// Id of the call that this answers.
         call: CallId,
-        /// Index of the committed change, or why there is none.
+        /// Log index of the committed change, or the reason for the failure.
         result: Result<LogIndex, String>,
     },
-    /// Controller to router: services, instances and their use.
+    /// Controller to router: services, instances and their usage.
     ServiceFeed(FeedMessage),
-    /// Router to controller: what it uses and is asked for.
+    /// Router to controller: the router's usage of instances and the demand that it receives.
     ServiceReport(ReportMessage),
-    /// Controller to leading controller: asks for the feed, to pass it on.
+    /// Controller to leading controller: subscribes to the feed, to relay it to routers.
     FollowLeader {
-        /// The sender's zone.
+        /// Zone of the sender.
         zone: Zone,
-        /// What it knows of the instances.
+        /// Digests of the instances that the sender holds.
         known: InstanceDigests,
     },
-    /// Controller to leading controller: what the routers tell that follow it.
+    /// Controller to leading controller: reports of the routers that are connected to the sender.
     RelayedReports(Vec<RelayedReport>),
-    /// Leading controller to controller: an answer to one of its routers.
+    /// Leading controller to controller: an answer for a router that is connected to the receiver.
     RelayedAnswer {
-        /// The router.
+        /// Name of the router.
         router: String,
-        /// The router's connection.
+        /// Number of the router's connection at the receiver.
         session: u64,
-        /// The answer.
+        /// Message to pass on to the router.
         answer: FeedMessage,
     },
-    /// Controller to leading controller: instances that registered there.
+    /// Controller to leading controller: instances that registered at the sender.
     Registrations(Vec<RelayedRegistration>),
     /// Answers [`Message::Registrations`].
     RegistrationsReply {
-        /// Whether the sender leads; otherwise nothing was taken.
+        /// Whether the sender is the leader; if not, it accepted none of the registrations.
         leads: bool,
-        /// Instances whose earlier registration the sender lacks.
+        /// Instances whose previous registration the sender does not hold; each is sent again in
+        /// full.
         missing: Vec<RunnerId>,
     },
-    /// Controller to controller: a process with a new disk wants to join.
+    /// Controller to controller: a process with a new disk requests membership.
     Join {
-        /// The member.
+        /// Id of the joining member.
         member: ControllerId,
-        /// Its wire address, `ip:port`.
+        /// Wire address of the joining member, `ip:port`.
         wire_address: String,
     },
-    /// Answers [`Message::Join`]: the members of the group, or whomever a process that is
-    /// no member itself knows.
+    /// Answers [`Message::Join`] with the members of the group. A process that is not a member
+    /// itself answers with the members that it has learned of.
     Joined {
-        /// Whether the sender leads and takes the member in.
+        /// Whether the sender is the leader and adds the member to the group.
         leads: bool,
-        /// The leader's wire address, as far as the sender knows.
+        /// Wire address of the leader, if known to the sender.
         leader: Option<String>,
-        /// Members with their wire addresses.
+        /// Members with their wire addresses, `ip:port`.
         members: Vec<(ControllerId, String)>,
     },
 }
 
-/// A queued job as its executor needs it.
+/// A queued job, as sent to the router that executes it.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct QueuedJob {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Its deployment.
+    /// Deployment that the job calls.
     pub deployment: DeploymentName,
-    /// Its class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// Time since it was accepted.
+    /// Time since the job was accepted.
     pub waited: Millis,
-    /// Time left until its deadline.
+    /// Time left until the job's deadline.
     pub deadline_in: Millis,
 }
 
-/// Routers that follow one controller.
+/// Routers that are subscribed to the feed of one controller.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct RouterReport {
-    /// Whether `routers` holds all of them.
+    /// Whether `routers` holds all routers of the sender, or only those that changed.
     pub full: bool,
-    /// Names of all of them; no other one follows the sender.
+    /// Names of all routers that are subscribed to the sender.
     pub present: BTreeSet<RouterId>,
-    /// All routers, or those that changed.
+    /// All routers, or those that changed since the previous report.
     pub routers: Vec<ReportedRouter>,
 }
 
-/// A live router as controllers know it.
+/// A live router, as controllers report it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct ReportedRouter {
-    /// As other routers need it.
+    /// The part that other routers receive.
     pub endpoint: RouterEndpoint,
-    /// `ip:port` for callers.
+    /// `ip:port` for clients.
     pub http_address: String,
-    /// Revision in force there.
+    /// Revision of the configuration in force at the router.
     pub revision: Revision,
 }
 
@@ -314,16 +319,16 @@
 pub enum LedgerResult {
     /// The command was committed.
     Committed(CommandReply),
-    /// It was not taken in; ask another controller.
+    /// The receiver is not the leader and did not accept the command; send it to another controller.
     NotLeader {
-        /// Address of the leader's wire port, if known.
+        /// Wire address of the leader, `ip:port`, if known.
         leader: Option<String>,
     },
-    /// It may or may not be committed; a resend finds out.
+    /// The command may or may not be committed; the reply to a resend shows which.
     Undecided,
 }
 
-/// Asks for the feed.
+/// A router's subscription to the feed.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct Subscribe {
     /// The router.
@@ -332,39 +337,39 @@
     pub incarnation: Incarnation,
     /// `ip:port` of its wire port, for other routers.
     pub wire_address: String,
-    /// `ip:port` for callers.
+    /// `ip:port` for clients.
     pub http_address: String,
     /// Its zone.
     pub zone: Zone,
-    /// Last revision that it has; 0 for none.
+    /// Last revision of the configuration that the router holds; 0 for none.
     pub revision: Revision,
-    /// State of the placement that it has; 0 for none.
+    /// Log index of the placement that the router holds; 0 for none.
     pub placement: LogIndex,
 }
 
-/// Changes of the configuration.
+/// A change of the configuration, or the whole configuration.
 #[derive(Debug, Clone, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct ConfigurationUpdate {
-    /// Whether this replaces everything that the router has.
+    /// Whether the update replaces the whole configuration that the router holds.
     pub full: bool,
     /// Revision after the update.
     pub revision: Revision,
-    /// Set deployments.
+    /// New or changed deployments.
     pub deployments: Vec<StoredDeployment>,
     /// Removed deployments.
     pub removed: Vec<DeploymentName>,
-    /// All tenants, when any changed.
+    /// All tenants if any of them changed.
     pub tenants: Option<Vec<TenantDocument>>,
     /// Whether more parts of the same update follow.
     pub more: bool,
 }
 
-/// Replicas and runners. A higher `sequence` replaces a lower.
+/// Replicas and runners. An update with a higher `sequence` supersedes one with a lower.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct PlacementUpdate {
-    /// Log index of the state.
+    /// Log index of the state that the update was made from.
     pub sequence: LogIndex,
-    /// Whether this replaces everything that the router has.
+    /// Whether the update replaces all replicas and runners that the router holds.
     pub full: bool,
     /// Changed runners.
     pub runners: Vec<RunnerEndpoint>,
@@ -372,7 +377,7 @@
     pub deployments: Vec<DeploymentReplicas>,
 }
 
-/// A runner as routers need it.
+/// A runner, as sent to routers.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct RunnerEndpoint {
     /// The runner.
@@ -392,7 +397,7 @@
 pub struct DeploymentReplicas {
     /// The deployment.
     pub deployment: DeploymentName,
-    /// Runners that serve it now.
+    /// Runners with a ready replica.
     pub ready: Vec<RunnerId>,
     /// Replicas that are being loaded.
     pub loading: Vec<LoadingReplica>,
@@ -401,22 +406,22 @@
 /// A replica that is being loaded.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct LoadingReplica {
-    /// Runner that loads it.
+    /// Runner that is loading the replica.
     pub runner: RunnerId,
-    /// Estimated rest of the load.
+    /// Estimated time until the load is complete.
     pub remaining: Millis,
 }
 
-/// The live routers.
+/// The list of live routers.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct FleetUpdate {
-    /// Grows with each change.
+    /// Number of the list; increases with each change.
     pub epoch: Epoch,
-    /// The routers.
+    /// All live routers.
     pub routers: Vec<RouterEndpoint>,
 }
 
-/// A router as other routers need it.
+/// A router, as sent to other routers.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct RouterEndpoint {
     /// The router.
@@ -427,6 +432,6 @@
     pub wire_address: String,
     /// Its zone.
     pub zone: Zone,
-    /// Whether it stops and owns no queues any more.
+    /// Whether the router is shutting down and owns no queues any more.
     pub leaving: bool,
 }
--- a/crates/wire/src/parts.rs
+++ b/crates/wire/src/parts.rs
@@ -1,15 +1,18 @@
-//! Configuration updates in parts, so that one message stays small.
+//! Splits configuration updates into parts, so that each message stays small.
+//!
+//! Invariant: every part but the last has `more` set, and only the first carries the tenants and
+//! the `full` flag.
 
 use crate::message::{ConfigurationUpdate, Message};
 use courseshunt_state::StoredDeployment;
 use courseshunt_types::{DeploymentName, Revision};
 
-/// Documents in one part of an update at the most.
+/// Maximum number of documents in one part of an update.
 pub const DOCUMENTS_PER_PART: usize = 128;
 
 impl ConfigurationUpdate {
-    /// The update as messages of at most [`DOCUMENTS_PER_PART`] documents each.
-    /// The receiver brings it into force with the last one.
+    /// Splits the update into messages of at most [`DOCUMENTS_PER_PART`] documents each. The
+    /// receiver puts the update into force when the last one has arrived.
     #[must_use]
     pub fn into_parts(self) -> Vec<Message> {
         let deployments = self.deployments.chunks(DOCUMENTS_PER_PART);
--- a/crates/wire/src/previous_release/feed.rs
+++ b/crates/wire/src/previous_release/feed.rs
@@ -1,70 +1,71 @@
-//! Messages between controllers and routers of protocol version 2, as they are on the wire:
-//! never changed.
+//! Messages between controllers and routers of protocol version 2 in their form on the wire,
+//! which must never change.
 
 use courseshunt_services::{InstanceDigests, InstanceUsage, InstanceView, ModelDemand};
 use courseshunt_types::RunnerId;
 
-/// Controller to router.
+/// Message from a controller to a router.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub(crate) enum FeedMessage {
-    /// This controller does not lead; the leader's wire address, if known.
+    /// The controller is not the leader and serves no feed.
     NotLeader {
-        /// `ip:port`.
+        /// Wire address of the leader, `ip:port`, if known.
         leader: Option<String>,
     },
-    /// Wire addresses of all members of the group.
+    /// Wire addresses of all members of the group, `ip:port`.
     Members(Vec<String>),
-    /// A committed configuration, in the operator's own form, as its difference
-    /// from an older one.
+    /// A committed configuration document, in the form in which the operator submitted it, as its
+    /// difference from an older one.
     Configuration {
-        /// Its number.
+        /// Number of the document.
         number: u64,
         /// Number of the older document; 0 for the empty one.
         base: u64,
         /// Digest of the document.
         digest: u64,
-        /// What makes the document out of the older one.
+        /// Difference that turns the older document into this one.
         difference: Vec<u8>,
     },
-    /// Instances that changed, and those that are gone.
+    /// Instances that changed or were removed.
     Instances {
-        /// New or changed.
+        /// New or changed instances.
         changed: Vec<InstanceView>,
-        /// No longer there.
+        /// Removed instances.
         gone: Vec<RunnerId>,
     },
-    /// All instances that are there; others are gone.
+    /// Complete list of the instances; any other one has been removed.
     Live(Vec<RunnerId>),
-    /// What all routers use, this one included, and how many there are.
+    /// Usage of the instances by all routers, including the receiver.
     Usage {
         /// Number of the configuration in force at the leader.
         configuration: u64,
-        /// Live routers.
+        /// Number of live routers.
         routers: u32,
         /// Usage summed over all routers.
         instances: Vec<InstanceUsage>,
     },
 }
 
-/// Router to controller.
+/// Message from a router to a controller.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub(crate) enum ReportMessage {
-    /// Asks for the feed.
+    /// Subscribes to the feed.
     Subscribe {
         /// Number of the configuration in force at the router, 0 for none.
         number: u64,
-        /// What the router knows of the instances.
+        /// Digests of the instances that the router holds.
         known: InstanceDigests,
     },
-    /// What the router uses and is asked for.
+    /// The router's usage of instances and the demand that it receives.
     Usage {
         /// Number of the configuration in force at the router, 0 for none.
         configuration: u64,
-        /// At each instance with requests under way.
+        /// Usage of each instance with requests in flight.
         instances: Vec<InstanceUsage>,
-        /// For each model asked for since the last report or waited for.
+        /// Demand for each model that was requested since the last report or that queued requests
+        /// wait for.
         demand: Vec<ModelDemand>,
-        /// Instances that could not be reached lately.
+        /// Instances that recently could not be reached.
         unreachable: Vec<RunnerId>,
     },
 }
--- a/crates/wire/src/previous_release/message.rs
+++ b/crates/wire/src/previous_release/message.rs
@@ -1,7 +1,7 @@
-//! Messages of protocol version 2, as they are on the wire: never changed.
+//! Messages of protocol version 2 in their form on the wire, which must never change.
 //!
-//! Types that have not changed since are the present ones. The order of the kinds is their
-//! number on the wire.
+//! Types whose form is the same in the current version are shared with it. The order of the
+//! variants is their number on the wire.
 
 use super::feed::{FeedMessage, ReportMessage};
 use crate::message::{
@@ -19,221 +19,222 @@
     RunnerId,
 };
 
-/// One message.
+/// One message, the content of one frame of version 2.
 #[derive(Debug, Clone, PartialEq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub(crate) enum Message {
-    /// Controller to controller: consensus of one group.
+    /// Controller to controller: consensus traffic of one group.
     Consensus {
-        /// The group.
+        /// The consensus group.
         group: GroupId,
-        /// The message.
+        /// The consensus message.
         message: ConsensusMessage,
     },
-    /// Controller to controller: a command for the leader, on behalf of a client.
+    /// Controller to controller: a client's command, forwarded to the leader.
     Forward {
-        /// Comes back in the reply.
+        /// Echoed in the reply.
         call: CallId,
-        /// The group.
+        /// The consensus group.
         group: GroupId,
         /// `rkyv` bytes of a `CommandEnvelope`.
         envelope: Vec<u8>,
     },
     /// Answers [`Message::Forward`].
     ForwardReply {
-        /// The call.
+        /// Id of the call that this answers.
         call: CallId,
-        /// The reply, or `None` when the receiver can't tell.
+        /// The reply, or `None` when the outcome is unknown to the receiver.
         reply: Option<CommandReply>,
     },
-    /// Router to controller: asks for the feed, from a revision on.
+    /// Router to controller: subscribes to the feed, starting after a revision.
     Subscribe(Subscribe),
-    /// Controller to router: configuration.
+    /// Controller to router: a change of the configuration, or all of it.
     Configuration(ConfigurationUpdate),
-    /// Controller to router: replicas and runners.
+    /// Controller to router: changed replicas and runners, or all of them.
     Placement(PlacementUpdate),
     /// Controller to router: the live routers.
     Fleet(FleetUpdate),
-    /// Controller to router: how old the feed's confirmation is.
+    /// Controller to router: age of the feed's last confirmation by a quorum.
     FeedConfirmation {
-        /// Time since the controller knew itself in contact with a quorum.
+        /// Time since the controller last confirmed contact with a quorum.
         age: Millis,
-        /// Revision of the configuration at that time.
+        /// Revision of the configuration at the time of that contact.
         revision: Revision,
     },
-    /// Router to controller: this revision is in force here.
+    /// Router to controller: a revision is in force at the router.
     Confirmed {
-        /// The revision.
+        /// Revision in force.
         revision: Revision,
     },
-    /// Router to controller: demand of the queues it owns.
+    /// Router to controller: demand of the queues that the router owns.
     Demand {
         /// One report for each queue whose demand changed.
         reports: Vec<DemandReport>,
     },
     /// Router to controller: a command for the ledger.
     Ledger {
-        /// Comes back in the reply.
+        /// Echoed in the reply.
         call: CallId,
         /// The group that holds the key.
         group: GroupId,
-        /// Number of the command; a resend has the same.
+        /// Sequence number of the command; a resend carries the same.
         sequence: ClientSequence,
-        /// The router has all replies below this number.
+        /// The router has received all replies below this number.
         acknowledged: ClientSequence,
-        /// The command.
+        /// The ledger command.
         command: Command,
     },
     /// Answers [`Message::Ledger`].
     LedgerReply {
-        /// The call.
+        /// Id of the call that this answers.
         call: CallId,
-        /// The result.
+        /// Result of the command.
         result: LedgerResult,
     },
-    /// Router to queue owner: a ticket.
+    /// Router to queue owner: a ticket for a queued request.
     Offer {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The ticket.
+        /// Ticket of the request.
         ticket: Ticket,
     },
-    /// Router to queue owner: a waiting request is gone.
+    /// Router to queue owner: a queued request has been cancelled or has ended.
     CancelTicket {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// Queue owner to router: leave to send a request.
+    /// Queue owner to router: permission to send a request.
     Granted {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// Generation of the ownership.
+        /// Generation of the queue's ownership.
         epoch: Epoch,
-        /// The grant.
+        /// The permission, with its runner.
         grant: Grant,
     },
     /// Queue owner to router: a ticket is refused.
     Refused {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The refusal.
+        /// The refused ticket and the reason.
         refusal: TicketRefusal,
     },
     /// Router to queue owner: a granted request has started.
     GrantStarted {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The grant.
+        /// Id of the grant.
         grant: GrantId,
     },
     /// Router to queue owner: a grant's slot is free again.
     GrantReturned {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The grant.
+        /// Id of the grant.
         grant: GrantId,
-        /// How the attempt ended; tells the owner about the runner's health.
+        /// How the attempt ended; the owner updates the runner's health from it.
         outcome: AttemptOutcome,
     },
-    /// Queue owner to router: this is not my queue (any more).
+    /// Queue owner to router: the sender does not own this queue, or no longer does.
     NotOwner {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
         /// Tickets that must be offered to the owner again.
         requests: Vec<RequestId>,
     },
-    /// Router to queue owner: these grants run here, and no others.
+    /// Router to queue owner: the complete list of grants that run at the router.
     AdoptGrants {
-        /// The queue.
+        /// Queue that the message concerns.
         queue: QueueKey,
-        /// The grants.
+        /// All running grants of the queue at this router.
         grants: Vec<RunningGrant>,
     },
-    /// Queue owner to router: the owner stops; its queues have other owners.
+    /// Queue owner to router: the owner is stopping, and its queues have new owners.
     OwnerLeaving,
-    /// Router to queue owner: are you there?
+    /// Router to queue owner: liveness check.
     Ping,
     /// Answers [`Message::Ping`].
     Pong,
-    /// Controller to leading controller: asks for an index at which a read is
+    /// Controller to leading controller: requests an index at which a read is
     /// linearizable.
     ReadIndex {
-        /// Comes back in the reply.
+        /// Echoed in the reply.
         call: CallId,
-        /// The group.
+        /// The consensus group.
         group: GroupId,
     },
     /// Answers [`Message::ReadIndex`].
     ReadIndexReply {
-        /// The call.
+        /// Id of the call that this answers.
         call: CallId,
-        /// The index, or `None` when the receiver can't tell.
+        /// The index, or `None` when the receiver can't confirm one.
         index: Option<LogIndex>,
     },
-    /// Controller to leading controller: demand that a router reported here.
+    /// Controller to leading controller: demand that a router reported to the sender.
     RelayedDemand {
-        /// The router.
+        /// Router that reported the demand.
         router: RouterId,
-        /// Its reports.
+        /// Demand reports of the router.
         reports: Vec<DemandReport>,
-        /// Whether the router has left; earlier reports no longer count.
+        /// Whether the router has left, which invalidates its previous reports.
         gone: bool,
     },
-    /// Controller to the controller that connected: the connection is alive.
+    /// Controller to the controller that opened the connection: keep-alive.
     PeerAlive,
-    /// Controller to router: the queued jobs that it should execute.
+    /// Controller to router: the queued jobs that the router is to execute.
     Jobs {
-        /// The earliest deadlines first; replaces what was told before.
+        /// Ordered by deadline, earliest first; replaces the jobs sent before.
         jobs: Vec<QueuedJob>,
     },
-    /// Router to controller: it stops as planned and owns no queues any more.
+    /// Router to controller: the router is shutting down as planned and owns no queues any more.
     Leaving,
-    /// Controller to router: stop as planned.
+    /// Controller to router: drain, then shut down.
     Drain,
-    /// Controller to controller: routers that follow the sender.
+    /// Controller to controller: routers that are subscribed to the sender's feed.
     RouterReport(RouterReport),
-    /// Controller to leading controller: an operator's change of the membership.
+    /// Controller to leading controller: a membership change requested by an operator.
     ChangeMembership {
-        /// Comes back in the reply.
+        /// Echoed in the reply.
         call: CallId,
-        /// The group.
+        /// The consensus group.
         group: GroupId,
-        /// The change.
+        /// The requested change.
         change: MembershipChange,
     },
     /// Answers [`Message::ChangeMembership`].
     ChangeMembershipReply {
-        /// The call.
+        /// Id of the call that this answers.
         call: CallId,
-        /// Index of the committed change, or why there is none.
+        /// Log index of the committed change, or the reason for the failure.
         result: Result<LogIndex, String>,
     },
-    /// Controller to router: services, instances and their use.
+    /// Controller to router: services, instances and their usage.
     ServiceFeed(FeedMessage),
-    /// Router to controller: what it uses and is asked for.
+    /// Router to controller: the router's usage of instances and the demand that it receives.
     ServiceReport(ReportMessage),
-    /// Controller to leading controller: instances that registered there.
+    /// Controller to leading controller: instances that registered at the sender.
     Registrations(Vec<RelayedRegistration>),
     /// Answers [`Message::Registrations`].
     RegistrationsReply {
-        /// Whether the sender leads; otherwise nothing was taken.
+        /// Whether the sender is the leader; if not, it accepted none of the registrations.
         leads: bool,
-        /// Instances whose earlier registration the sender lacks.
+        /// Instances whose previous registration the sender does not hold; each is sent again in
+        /// full.
         missing: Vec<RunnerId>,
     },
-    /// Controller to controller: a process with a new disk wants to join.
+    /// Controller to controller: a process with a new disk requests membership.
     Join {
-        /// The member.
+        /// Id of the joining member.
         member: ControllerId,
-        /// Its wire address, `ip:port`.
+        /// Wire address of the joining member, `ip:port`.
         wire_address: String,
     },
-    /// Answers [`Message::Join`]: the members of the group.
+    /// Answers [`Message::Join`] with the members of the group.
     Joined {
-        /// Whether the sender leads and takes the member in.
+        /// Whether the sender is the leader and adds the member to the group.
         leads: bool,
-        /// Members with their wire addresses.
+        /// Members with their wire addresses, `ip:port`.
         members: Vec<(ControllerId, String)>,
     },
 }
--- a/crates/wire/src/previous_release/mod.rs
+++ b/crates/wire/src/previous_release/mod.rs
@@ -1,10 +1,12 @@
-//! Protocol version 2, which production's build speaks, and its translation.
+//! Protocol version 2, which the previous release uses, and its translation to and from the current
+//! version.
 //!
-//! Invariant: nothing outside this module knows the types of that version. What a peer of that
-//! build has no word for is not sent to it; what it does not say counts as not said.
+//! Invariant: the types of version 2 are used in this module alone. A message that version 2 can't
+//! express is not sent to a peer of the previous release; fields that version 2 lacks are empty in
+//! messages received from such a peer.
 //!
-//! Spoken is what processes of declared services say to each other. Routers and controllers of
-//! deployments are replaced together, as before.
+//! Only messages between processes of declared services are translated. Routers and controllers of
+//! deployments are upgraded together, so they never communicate across the two releases.
 
 mod feed;
 mod message;
@@ -12,88 +14,86 @@
 use crate::frame;
 use crate::message::Message;
 use courseshunt_services::{FeedMessage, MemberPlace, ReportMessage};
-use message::Message as Earlier;
+use message::Message as PreviousMessage;
 
-/// A message as a whole frame of version 2; none: that build has no word for it.
+/// Encodes a message as a whole frame of version 2; `None` when version 2 can't express it.
 ///
 /// # Errors
 /// When the message is too long for a frame.
 pub fn encode(message: &Message) -> Result<Option<Vec<u8>>, String> {
-    let Some(earlier) = to_earlier(message.clone()) else {
+    let Some(previous) = to_previous(message.clone()) else {
         return Ok(None);
     };
-    let content = rkyv::to_bytes::<rkyv::rancor::Error>(&earlier);
+    let content = rkyv::to_bytes::<rkyv::rancor::Error>(&previous);
     let content = content.map_err(|error| error.to_string())?;
     frame::wrap(&content, frame::PREVIOUS_RELEASE_VERSION).map(Some)
 }
 
-/// Reads the content of a frame of version 2.
+/// Decodes the content of a frame of version 2.
 ///
 /// # Errors
-/// When checksum or content are wrong, or the message is of another kind than is spoken with
-/// that build.
+/// When the checksum or the content is invalid, or when messages of this kind are not exchanged
+/// with the previous release.
 pub fn decode(content: &[u8], checksum: u32) -> Result<Message, String> {
     let aligned = frame::open(content, checksum)?;
-    let earlier = rkyv::from_bytes::<Earlier, rkyv::rancor::Error>(&aligned);
-    let earlier = earlier.map_err(|error| error.to_string())?;
-    let message = from_earlier(earlier);
-    message.ok_or_else(|| "this kind of message is not spoken with production's build".to_owned())
+    let previous = rkyv::from_bytes::<PreviousMessage, rkyv::rancor::Error>(&aligned);
+    let previous = previous.map_err(|error| error.to_string())?;
+    let message = from_previous(previous);
+    message.ok_or_else(|| "this kind of message is not spoken with the previous release".to_owned())
 }
 
-fn to_earlier(message: Message) -> Option<Earlier> {
+fn to_previous(message: Message) -> Option<PreviousMessage> {
     Some(match message {
-        Message::Consensus { group, message } => Earlier::Consensus { group, message },
+        Message::Consensus { group, message } => PreviousMessage::Consensus { group, message },
         Message::Forward {
             call,
             group,
             envelope,
-        } => Earlier::Forward {
+        } => PreviousMessage::Forward {
             call,
             group,
             envelope,
         },
-        Message::ForwardReply { call, reply } => Earlier::ForwardReply { call, reply },
-        Message::ReadIndex { call, group } => Earlier::ReadIndex { call, group },
-        Message::ReadIndexReply { call, index } => Earlier::ReadIndexReply { call, index },
-        Message::PeerAlive => Earlier::PeerAlive,
+        Message::ForwardReply { call, reply } => PreviousMessage::ForwardReply { call, reply },
+        Message::ReadIndex { call, group } => PreviousMessage::ReadIndex { call, group },
+        Message::ReadIndexReply { call, index } => PreviousMessage::ReadIndexReply { call, index },
+        Message::PeerAlive => PreviousMessage::PeerAlive,
         Message::ChangeMembership {
             call,
             group,
             change,
-        } => Earlier::ChangeMembership {
+        } => PreviousMessage::ChangeMembership {
             call,
             group,
             change,
         },
         Message::ChangeMembershipReply { call, result } => {
-            Earlier::ChangeMembershipReply { call, result }
+            PreviousMessage::ChangeMembershipReply { call, result }
+        }
+        Message::ServiceFeed(feed) => PreviousMessage::ServiceFeed(to_previous_feed(feed)?),
+        Message::ServiceReport(report) => {
+            PreviousMessage::ServiceReport(to_previous_report(report)?)
+        }
+        Message::Registrations(batch) => PreviousMessage::Registrations(batch),
+        Message::RegistrationsReply { leads, missing } => {
+            PreviousMessage::RegistrationsReply { leads, missing }
         }
-        Message::ServiceFeed(feed) => Earlier::ServiceFeed(to_earlier_feed(feed)?),
-        Message::ServiceReport(report) => Earlier::ServiceReport(to_earlier_report(report)?),
-        Message::Registrations(batch) => Earlier::Registrations(batch),
-        Message::RegistrationsReply {
-            leads,
-            missing: lacked,
-        } => Earlier::RegistrationsReply {
-            leads,
-            missing: lacked,
-        },
         Message::Join {
             member,
             wire_address,
-        } => Earlier::Join {
+        } => PreviousMessage::Join {
             member,
             wire_address,
         },
-        Message::Joined { leads, members, .. } => Earlier::Joined { leads, members },
+        Message::Joined { leads, members, .. } => PreviousMessage::Joined { leads, members },
         _ => return None,
     })
 }
 
-fn from_earlier(message: Earlier) -> Option<Message> {
+fn from_previous(message: PreviousMessage) -> Option<Message> {
     Some(match message {
-        Earlier::Consensus { group, message } => Message::Consensus { group, message },
-        Earlier::Forward {
+        PreviousMessage::Consensus { group, message } => Message::Consensus { group, message },
+        PreviousMessage::Forward {
             call,
             group,
             envelope,
@@ -102,11 +102,11 @@
             group,
             envelope,
         },
-        Earlier::ForwardReply { call, reply } => Message::ForwardReply { call, reply },
-        Earlier::ReadIndex { call, group } => Message::ReadIndex { call, group },
-        Earlier::ReadIndexReply { call, index } => Message::ReadIndexReply { call, index },
-        Earlier::PeerAlive => Message::PeerAlive,
-        Earlier::ChangeMembership {
+        PreviousMessage::ForwardReply { call, reply } => Message::ForwardReply { call, reply },
+        PreviousMessage::ReadIndex { call, group } => Message::ReadIndex { call, group },
+        PreviousMessage::ReadIndexReply { call, index } => Message::ReadIndexReply { call, index },
+        PreviousMessage::PeerAlive => Message::PeerAlive,
+        PreviousMessage::ChangeMembership {
             call,
             group,
             change,
@@ -115,27 +115,25 @@
             group,
             change,
         },
-        Earlier::ChangeMembershipReply { call, result } => {
+        PreviousMessage::ChangeMembershipReply { call, result } => {
             Message::ChangeMembershipReply { call, result }
         }
-        Earlier::ServiceFeed(feed) => Message::ServiceFeed(from_earlier_feed(feed)),
-        Earlier::ServiceReport(report) => Message::ServiceReport(from_earlier_report(report)),
-        Earlier::Registrations(batch) => Message::Registrations(batch),
-        Earlier::RegistrationsReply {
-            leads,
-            missing: lacked,
-        } => Message::RegistrationsReply {
-            leads,
-            missing: lacked,
-        },
-        Earlier::Join {
+        PreviousMessage::ServiceFeed(feed) => Message::ServiceFeed(from_previous_feed(feed)),
+        PreviousMessage::ServiceReport(report) => {
+            Message::ServiceReport(from_previous_report(report))
+        }
+        PreviousMessage::Registrations(batch) => Message::Registrations(batch),
+        PreviousMessage::RegistrationsReply { leads, missing } => {
+            Message::RegistrationsReply { leads, missing }
+        }
+        PreviousMessage::Join {
             member,
             wire_address,
         } => Message::Join {
             member,
             wire_address,
         },
-        Earlier::Joined { leads, members } => Message::Joined {
+        PreviousMessage::Joined { leads, members } => Message::Joined {
             leads,
             leader: None,
             members,
@@ -144,13 +142,14 @@
     })
 }
 
-/// What a router of that build is told. It knows no parts: of one it is told the instances,
-/// and by the list of all of them which others are gone.
-fn to_earlier_feed(message: FeedMessage) -> Option<feed::FeedMessage> {
+/// Translates a message for a router of the previous release. Version 2 has no buckets: the
+/// instances of a bucket are sent as changed ones, and the list of live instances shows which
+/// others were removed.
+fn to_previous_feed(message: FeedMessage) -> Option<feed::FeedMessage> {
     Some(match message {
         FeedMessage::NoFeed { leader } => feed::FeedMessage::NotLeader { leader },
         FeedMessage::Members(members) => {
-            let addresses = members.into_iter().map(|one| one.address);
+            let addresses = members.into_iter().map(|member| member.address);
             feed::FeedMessage::Members(addresses.collect())
         }
         FeedMessage::Configuration {
@@ -190,7 +189,7 @@
     })
 }
 
-fn from_earlier_feed(message: feed::FeedMessage) -> FeedMessage {
+fn from_previous_feed(message: feed::FeedMessage) -> FeedMessage {
     match message {
         feed::FeedMessage::NotLeader { leader } => FeedMessage::NoFeed { leader },
         feed::FeedMessage::Members(addresses) => {
@@ -225,7 +224,7 @@
     }
 }
 
-fn to_earlier_report(message: ReportMessage) -> Option<feed::ReportMessage> {
+fn to_previous_report(message: ReportMessage) -> Option<feed::ReportMessage> {
     Some(match message {
         ReportMessage::Subscribe { number, known } => {
             feed::ReportMessage::Subscribe { number, known }
@@ -250,7 +249,7 @@
     })
 }
 
-fn from_earlier_report(message: feed::ReportMessage) -> ReportMessage {
+fn from_previous_report(message: feed::ReportMessage) -> ReportMessage {
     match message {
         feed::ReportMessage::Subscribe { number, known } => {
             ReportMessage::Subscribe { number, known }
--- a/crates/wire/src/traffic.rs
+++ b/crates/wire/src/traffic.rs
@@ -1,13 +1,13 @@
-//! Counters of what passes over this process's connections, by message kind.
+//! Counters of messages and bytes on all connections of this process, by kind of message.
 //!
-//! The counters are the process's own: an embedded site counts all its nodes
-//! together.
+//! The counters are global to the process: when several nodes run embedded in one process, they
+//! are counted together.
 
 use crate::message::Message;
 use courseshunt_services::FeedMessage;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Kinds of messages, as named in metrics.
+/// Names of the kinds of messages in metrics.
 pub const MESSAGE_KINDS: [&str; 18] = [
     "consensus",
     "forward",
@@ -32,20 +32,20 @@
 /// Messages and bytes of one kind in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TrafficCount {
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Bytes, with frame headers.
+    /// Number of bytes, frame headers included.
     pub bytes: u64,
 }
 
-/// Traffic of one kind of message since the process's start.
+/// Traffic of one kind of message since the process started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KindTraffic {
     /// The kind, one of [`MESSAGE_KINDS`].
     pub kind: &'static str,
-    /// What was sent.
+    /// Messages sent.
     pub sent: TrafficCount,
-    /// What was received.
+    /// Messages received.
     pub received: TrafficCount,
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-/// Place of a message's kind in [`MESSAGE_KINDS`].
+/// Index of a message's kind in [`MESSAGE_KINDS`].
 pub(crate) fn kind_index(message: &Message) -> usize {
     match message {
         Message::Consensus { .. } | Message::PeerAlive => 0,
