--- a/crates/types/examples/clock_cost.rs
+++ b/crates/types/examples/clock_cost.rs
@@ -1,29 +1,31 @@
-//! What a reading of the clock costs, in nanoseconds, against the standard library's steady
-//! clock, which leaves out time asleep:
+//! Measures the cost of one reading of [`MonotonicClock`], in nanoseconds, and compares it with the
+//! monotonic clock of the standard library, which stops while the machine is suspended:
 //! `cargo run --release -p courseshunt-types --example clock_cost`.
 
 use courseshunt_types::time::MonotonicClock;
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Readings of one run.
+/// Number of readings in one run.
 const READINGS: u32 = 5_000_000;
 
 fn main() {
     let clock = MonotonicClock::start();
-    let counting = cost(|| {
+    let suspend_aware = cost(|| {
         black_box(clock.now());
     });
-    let steady = cost(|| {
+    let standard = cost(|| {
         black_box(Instant::now());
     });
-    println!("one reading, ns: counting sleep {counting:.1}, steady clock {steady:.1}");
+    println!(
+        "one reading, ns: suspend-aware clock {suspend_aware:.1}, standard library {standard:.1}"
+    );
 }
 
-fn cost(reading: impl Fn()) -> f64 {
-    let began = Instant::now();
+fn cost(read: impl Fn()) -> f64 {
+    let start = Instant::now();
     for _ in 0..READINGS {
-        reading();
+        read();
     }
-    began.elapsed().as_secs_f64() * 1e9 / f64::from(READINGS)
+    start.elapsed().as_secs_f64() * 1e9 / f64::from(READINGS)
 }
--- a/crates/types/src/deployment.rs
+++ b/crates/types/src/deployment.rs
@@ -1,4 +1,4 @@
-//! Deployment documents: what operators declare for one model.
+//! Deployment documents, in which operators declare how a model is served.
 
 use crate::digest::Digest;
 use crate::ids::{AdapterName, DeploymentName, ModelName, TenantName, Version};
@@ -19,18 +19,18 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentDocument {
-    /// Name that callers use as `model`.
+    /// Name that clients send as `model`.
     pub name: DeploymentName,
-    /// Operator-chosen version; grows with each change.
+    /// Operator-chosen version; it increases with each change.
     pub version: Version,
     /// Base model in the weight store.
     pub model: ModelName,
     /// Tenant that owns the deployment.
     pub tenant: TenantName,
-    /// Tenants that may call it besides the owner.
+    /// Tenants besides the owner that may call the deployment.
     #[serde(default)]
     pub shared_with: Vec<TenantName>,
-    /// Adapters over the base model; called as `name:adapter`.
+    /// Adapters of the base model; clients call them as `name:adapter`.
     #[serde(default)]
     pub adapters: Vec<AdapterDocument>,
     /// Accelerator memory of one replica, in MiB.
@@ -38,29 +38,29 @@
     /// Size of the checkpoint in the weight store, in MiB. Defaults to `memory_mib`.
     #[serde(default)]
     pub checkpoint_mib: u64,
-    /// Replicas kept loaded even when nobody calls.
+    /// Minimum number of loaded replicas, also without requests.
     #[serde(default)]
     pub min_replicas: u32,
-    /// Replicas loaded at the most.
+    /// Maximum number of loaded replicas.
     #[serde(default = "default_max_replicas")]
     pub max_replicas: u32,
-    /// Requests that one replica runs together.
+    /// Number of requests that one replica runs concurrently.
     #[serde(default = "default_slots")]
     pub slots_per_replica: u32,
-    /// Expected length of a load from the weight store, in milliseconds; an
-    /// estimate until measured.
+    /// Estimated duration of a load from the weight store, in milliseconds; used until a load has
+    /// been measured.
     #[serde(default = "default_load_estimate")]
     pub load_estimate_ms: Millis,
-    /// Limits by class.
+    /// Limits of each priority class.
     #[serde(default)]
     pub limits: ClassLimits,
-    /// Requests per second that one tenant may send; 0 means no limit.
+    /// Maximum rate of requests of one tenant, per second; 0 means no limit.
     #[serde(default)]
     pub tenant_rate_per_second: f64,
-    /// What the operator weighs.
+    /// Weights of cold starts and idle replicas in placement decisions.
     #[serde(default)]
     pub weights: ObjectiveWeights,
-    /// How long batch requests may be gathered before a load, in milliseconds.
+    /// Maximum time for which batch requests are collected before a load, in milliseconds.
     #[serde(default)]
     pub batch_window_ms: Millis,
 }
@@ -115,9 +115,9 @@
 )]
 #[serde(deny_unknown_fields)]
 pub struct ClassLimit {
-    /// Waiting requests at the most.
+    /// Maximum number of queued requests.
     pub queue_length: u32,
-    /// Deadline of a request that names none, in milliseconds.
+    /// Deadline of a request that specifies none, in milliseconds after its arrival.
     pub deadline_ms: Millis,
 }
 
@@ -159,7 +159,7 @@
 }
 
 impl ClassLimits {
-    /// The limit of one class.
+    /// Limits of one class.
     #[must_use]
     pub fn of(&self, class: crate::PriorityClass) -> ClassLimit {
         match class {
@@ -170,7 +170,7 @@
     }
 }
 
-/// The operator's trade-off between the two measures.
+/// The operator's trade-off between cold starts and idle replicas.
 #[derive(
     Debug,
     Clone,
@@ -184,9 +184,9 @@
 )]
 #[serde(deny_unknown_fields, default)]
 pub struct ObjectiveWeights {
-    /// Cost of one second that a first request waits for a load.
+    /// Cost of each second for which a first request waits for a load.
     pub cold_start_weight: f64,
-    /// Cost of one accelerator second that a loaded replica is idle.
+    /// Cost of each accelerator second for which a loaded replica is idle.
     pub idle_weight: f64,
 }
 
@@ -199,19 +199,19 @@
     }
 }
 
-/// A fault in a document, naming the field.
+/// An invalid field of a document.
 #[derive(Debug, Clone, PartialEq, Eq, snafu::Snafu)]
 #[snafu(display("deployment {deployment}: field `{field}`: {problem}"))]
 pub struct DocumentError {
-    /// The faulty deployment.
+    /// Deployment whose document is invalid.
     pub deployment: DeploymentName,
-    /// The faulty field.
+    /// Name of the invalid field.
     pub field: &'static str,
-    /// What is wrong and what is allowed.
+    /// Rule that the value violates, such as `must be 1 or more`.
     pub problem: String,
 }
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
 impl DeploymentDocument {
@@ -223,7 +223,7 @@
         Digest::of(&bytes)
     }
 
-    /// Accelerator memory that one replica takes with all adapters, in MiB.
+    /// Accelerator memory of one replica with all adapters, in MiB.
     #[must_use]
     pub fn replica_memory_mib(&self) -> u64 {
         let adapters: u64 = self.adapters.iter().map(|adapter| adapter.memory_mib).sum();
@@ -239,12 +239,12 @@
         }
     }
 
-    /// Checks every field that can be checked without other documents.
+    /// Validates each field that can be validated without other documents.
     ///
     /// # Errors
-    /// The first faulty field, with what is allowed.
+    /// The first invalid field, with the rule that it violates.
     pub fn validate(&self) -> Result<(), DocumentError> {
-        let fault = |field, problem: &str| {
+        let invalid = |field, problem: &str| {
             Err(DocumentError {
                 deployment: self.name.clone(),
                 field,
@@ -252,59 +252,62 @@
             })
         };
         if !valid_name(self.name.as_str()) {
-            return fault("name", NAME_RULE);
+            return invalid("name", NAME_RULE);
         }
         if !valid_name(self.model.as_str()) {
-            return fault("model", NAME_RULE);
+            return invalid("model", NAME_RULE);
         }
         if !valid_name(self.tenant.as_str()) {
-            return fault("tenant", NAME_RULE);
+            return invalid("tenant", NAME_RULE);
         }
         if self
             .adapters
             .iter()
-            .any(|one| !valid_name(one.name.as_str()))
+            .any(|adapter| !valid_name(adapter.name.as_str()))
         {
-            return fault("adapters", NAME_RULE);
+            return invalid("adapters", NAME_RULE);
         }
         if self.version.0 == 0 {
-            return fault("version", "must be 1 or more");
+            return invalid("version", "must be 1 or more");
         }
         if self.memory_mib == 0 {
-            return fault("memory_mib", "must be 1 or more");
+            return invalid("memory_mib", "must be 1 or more");
         }
         if self.max_replicas == 0 || self.max_replicas > MAX_REPLICAS {
-            return fault("max_replicas", "must be from 1 to 1024");
+            return invalid("max_replicas", "must be from 1 to 1024");
         }
         if self.min_replicas > self.max_replicas {
-            return fault("min_replicas", "must not exceed max_replicas");
+            return invalid("min_replicas", "must not exceed max_replicas");
         }
         if self.slots_per_replica == 0 || self.slots_per_replica > MAX_SLOTS {
-            return fault("slots_per_replica", "must be from 1 to 4096");
+            return invalid("slots_per_replica", "must be from 1 to 4096");
         }
         if !(self.tenant_rate_per_second.is_finite() && self.tenant_rate_per_second >= 0.0) {
-            return fault("tenant_rate_per_second", "must be 0 or more");
+            return invalid("tenant_rate_per_second", "must be 0 or more");
         }
         let weights = [self.weights.cold_start_weight, self.weights.idle_weight];
-        if weights.iter().any(|one| !one.is_finite() || *one < 0.0) {
-            return fault("weights", "must be finite numbers, 0 or more");
+        if weights
+            .iter()
+            .any(|weight| !weight.is_finite() || *weight < 0.0)
+        {
+            return invalid("weights", "must be finite numbers, 0 or more");
         }
         Ok(())
     }
 }
 
-/// Replicas of one deployment at the most.
+/// Maximum number of replicas of one deployment.
 pub const MAX_REPLICAS: u32 = 1024;
-/// Slots of one replica at the most.
+/// Maximum number of slots of one replica.
 pub const MAX_SLOTS: u32 = 4096;
 
 const NAME_RULE: &str =
     "must be 1 to 128 letters, digits, '-', '_', '.' or '/', starting with a letter or digit";
 
-/// Whether `name` may be used for deployments, models, tenants and adapters.
+/// Whether `name` is a valid name of a deployment, model, tenant or adapter.
 #[must_use]
 pub fn valid_name(name: &str) -> bool {
-    let allowed = |one: char| one.is_ascii_alphanumeric() || "-_./".contains(one);
+    let allowed = |character: char| character.is_ascii_alphanumeric() || "-_./".contains(character);
     name.len() <= MAX_NAME_BYTES
         && name.starts_with(|first: char| first.is_ascii_alphanumeric())
         && name.chars().all(allowed)
--- a/crates/types/src/runner_api.rs
+++ b/crates/types/src/runner_api.rs
@@ -1,6 +1,6 @@
 //! Bodies of the runner's control interface (`/control/...`), as JSON.
 //!
-//! Runners are outside systems; this is the published protocol they serve.
+//! Runners are external systems; this is the published protocol that they implement.
 
 use crate::fence::Fence;
 use crate::ids::{
@@ -8,21 +8,20 @@
 };
 use crate::time::Millis;
 
-/// Header that carries the request's identity to a runner and back.
+/// Header with the id of a request, sent to a runner and returned in its response.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header that carries the attempt number to a runner and back.
+/// Header with the attempt number, sent to a runner and returned in its response.
 pub const ATTEMPT_HEADER: &str = "x-attempt";
-/// Header that carries the priority class to a runner.
+/// Header with the priority class, sent to a runner.
 pub const PRIORITY_HEADER: &str = "x-priority";
-/// Header by which a runner says that a refused request did not start.
+/// Header by which a runner reports that a refused request was not started.
 pub const NOT_STARTED_HEADER: &str = "x-not-started";
-/// Header in which an answer carries the runner's present load.
+/// Response header with the runner's current load.
 pub const RUNNER_LOAD_HEADER: &str = "x-runner-load";
 
-/// Path of one execution at a runner. `GET` with `?from=N` gives its answer
-/// again, a stream from token N on; 404 says that the runner knows nothing of
-/// it. `GET` with `/status` tells its phase. `DELETE` ends it; one that had not
-/// started never will.
+/// Path of one execution at a runner. `GET` with `?from=N` returns its response again, a stream
+/// from token N on; 404 means that the runner has no record of the execution. `GET` with `/status`
+/// returns its phase. `DELETE` cancels it; an execution that has not started by then never starts.
 #[must_use]
 pub fn execution_path(request: &RequestId, attempt: Attempt) -> String {
     format!("/v1/executions/{request}/{attempt}")
@@ -31,28 +30,28 @@
 /// Reply to `GET /v1/executions/REQUEST/ATTEMPT/status` and to `DELETE`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ExecutionStatus {
-    /// The runner's incarnation: only the process that got a request can prove
+    /// Incarnation of the runner: only the process that received a request can prove
     /// that it did not start.
     pub incarnation: Incarnation,
-    /// How far it has come.
+    /// Progress of the execution.
     pub phase: ExecutionPhase,
 }
 
-/// How far an execution has come at its runner.
+/// Progress of an execution at its runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionPhase {
-    /// The runner never started it; after a `DELETE` it never will.
+    /// The runner has not started it; after a `DELETE` it never will.
     NotStarted,
-    /// It waits or runs in the engine.
+    /// It is queued or running in the engine.
     Running,
-    /// All of its answer is there.
+    /// Its response is complete.
     Finished,
-    /// It was ended early.
+    /// It was cancelled before it was complete.
     Cancelled,
 }
 
-/// Where a checkpoint lies; a lower tier loads faster.
+/// Storage tier of a checkpoint. The variants are ordered from the fastest to load to the slowest.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -71,19 +70,20 @@
 /// `POST /control/orders`: a fenced order.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct OrderRequest {
-    /// Refused when lower than the highest seen for this deployment.
+    /// Fence of the order; the runner refuses the order when it has received a higher fence for the
+    /// deployment.
     pub fence: Fence,
-    /// The deployment that the order is about.
+    /// Deployment that the order concerns.
     pub deployment: DeploymentName,
-    /// Incarnation that the order is meant for; another one refuses it, because
-    /// it has forgotten the fences of the former. `None` is for any.
+    /// Incarnation of the runner that the order is for. Any other incarnation refuses it, because
+    /// a restarted runner has lost the fences of the previous one. `None` is for any incarnation.
     #[serde(default)]
     pub incarnation: Option<Incarnation>,
-    /// What to do.
+    /// Action to perform.
     pub action: OrderAction,
 }
 
-/// What an order asks for.
+/// Action that an order requests.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum OrderAction {
@@ -93,57 +93,57 @@
         model: ModelName,
         /// Checkpoint size, in MiB.
         checkpoint_mib: u64,
-        /// Accelerator memory taken, in MiB, adapters included.
+        /// Accelerator memory used, in MiB, adapters included.
         memory_mib: u64,
-        /// Requests run together at the most.
+        /// Maximum number of concurrent requests.
         slots: u32,
         /// Adapters to attach.
         adapters: Vec<AdapterName>,
     },
     /// Finish running requests, then free the memory.
     Unload,
-    /// Copy the checkpoint to a cache tier; takes no accelerator memory.
+    /// Copy the checkpoint to a cache tier; uses no accelerator memory.
     Stage {
         /// Base model.
         model: ModelName,
         /// Checkpoint size, in MiB.
         checkpoint_mib: u64,
-        /// Target: host memory or disk.
+        /// Target tier, host memory or disk.
         tier: CacheTier,
     },
 }
 
-/// Answer to an accepted order.
+/// Response to an accepted order.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct OrderReply {
-    /// The runner's incarnation.
+    /// Incarnation of the runner that accepted the order.
     pub incarnation: Incarnation,
 }
 
-/// Why a runner refused an order.
+/// Reason for which a runner refused an order.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum OrderRejection {
-    /// A higher fence was seen for this deployment.
+    /// The runner has received a higher fence for the deployment.
     StaleFence {
-        /// The highest fence seen.
+        /// Highest fence received for the deployment.
         highest: Fence,
     },
-    /// The order is meant for another incarnation of the runner.
+    /// The order is for another incarnation of the runner.
     OtherIncarnation {
-        /// The present one.
+        /// Current incarnation of the runner.
         present: Incarnation,
     },
-    /// The accelerator memory does not suffice.
+    /// The free accelerator memory is insufficient.
     OutOfMemory {
         /// Free accelerator memory, in MiB.
         free_mib: u64,
     },
     /// The runner is draining and loads nothing new.
     Draining,
-    /// The order can't be read or does not fit the runner.
+    /// The order can't be parsed or can't be carried out by this runner.
     Invalid {
-        /// What is wrong.
+        /// Human-readable description of the problem.
         message: String,
     },
 }
@@ -152,11 +152,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadPhase {
-    /// The checkpoint is on its way.
+    /// The checkpoint is being loaded.
     Loading,
-    /// Requests are served.
+    /// The deployment serves requests.
     Ready,
-    /// Running requests finish; no new ones are taken.
+    /// Running requests finish; new ones are refused.
     Unloading,
 }
 
@@ -167,13 +167,13 @@
     pub deployment: DeploymentName,
     /// Base model.
     pub model: ModelName,
-    /// Fence of the order that started it.
+    /// Fence of the order that loaded it.
     pub fence: Fence,
-    /// State.
+    /// State of the load.
     pub phase: LoadPhase,
-    /// Accelerator memory taken, in MiB.
+    /// Accelerator memory used, in MiB.
     pub memory_mib: u64,
-    /// Estimated rest of the load, in milliseconds.
+    /// Estimated time until the load is complete, in milliseconds.
     pub remaining_ms: Millis,
 }
 
@@ -182,22 +182,22 @@
 pub struct CacheItem {
     /// Base model.
     pub model: ModelName,
-    /// Where it lies.
+    /// Tier that holds it.
     pub tier: CacheTier,
     /// Size, in MiB.
     pub size_mib: u64,
 }
 
-/// `GET /control/inventory`: what a runner holds right now.
+/// `GET /control/inventory`: deployments and checkpoints that a runner currently holds.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Inventory {
     /// The runner.
     pub runner: RunnerId,
-    /// Its incarnation; a new one holds nothing of the old.
+    /// Its incarnation; a new one holds no deployments of the previous one.
     pub incarnation: Incarnation,
     /// Its zone.
     pub zone: Zone,
-    /// Accelerators in the runner.
+    /// Number of accelerators in the runner.
     pub accelerators: u32,
     /// Accelerator memory, in MiB.
     pub memory_mib: u64,
@@ -205,13 +205,13 @@
     pub host_memory_mib: u64,
     /// Disk for cached checkpoints, in MiB.
     pub disk_mib: u64,
-    /// Whether the runner is leaving and takes no new work.
+    /// Whether the runner is draining and accepts no new work.
     pub draining: bool,
-    /// Deployments in accelerator memory or on the way there.
+    /// Deployments that are in accelerator memory or being loaded into it.
     pub deployments: Vec<InventoryItem>,
     /// Checkpoints in the cache tiers.
     pub cached: Vec<CacheItem>,
-    /// Checkpoints on their way to a cache tier by a staging order.
+    /// Models whose checkpoints are being copied to a cache tier by a staging order.
     #[serde(default)]
     pub staging: Vec<ModelName>,
 }
@@ -221,42 +221,42 @@
 pub struct DeploymentLoad {
     /// The deployment.
     pub deployment: DeploymentName,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting in the engine.
+    /// Number of requests queued in the engine.
     pub waiting: u32,
 }
 
-/// `GET /control/load`: a runner's load, which may lag.
+/// `GET /control/load`: a runner's load, which may be stale.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LoadReport {
     /// The runner.
     pub runner: RunnerId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Whether the runner is leaving.
+    /// Whether the runner is draining.
     pub draining: bool,
-    /// Load by deployment.
+    /// Load of each deployment.
     pub deployments: Vec<DeploymentLoad>,
 }
 
 /// `GET /control/events?after=N`: one change of the prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event; gaps mean lost events.
+    /// Sequence number of the event; a gap means that events were lost.
     pub sequence: u64,
     /// Deployment whose prefix cache changed.
     pub deployment: DeploymentName,
-    /// Hash of the prompt block (with all blocks before it).
+    /// Hash of the prompt block and all blocks before it.
     pub block_hash: u64,
-    /// Whether the block was stored (or else evicted).
+    /// Whether the block was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
-/// One machine of the platform's list (`GET /machines`), which lags.
+/// One machine of the platform's list (`GET /machines`), which may be stale.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct MachineItem {
-    /// The runner on the machine.
+    /// Runner on the machine.
     pub runner: RunnerId,
     /// `ip:port` of its HTTP interface.
     pub address: String,
@@ -283,8 +283,8 @@
 pub enum MachineState {
     /// In service.
     Live,
-    /// Will be taken away.
+    /// Scheduled for removal.
     Leaving,
-    /// Taken away; nothing runs there any more.
+    /// Removed; nothing runs on it any more.
     Gone,
 }
--- a/crates/types/tests/documents.rs
+++ b/crates/types/tests/documents.rs
@@ -1,8 +1,8 @@
-//! Contract of deployment documents: what is accepted, and how a fault reads.
+//! Validation of deployment documents, and the text forms of the basic types.
 
 use courseshunt_types::{DeploymentDocument, Digest, Fence, Outcome, PriorityClass, Term};
 
-fn minimal() -> serde_json::Value {
+fn minimal_document() -> serde_json::Value {
     serde_json::json!({
         "name": "climate-ctl", "version": 1, "model": "climate-ctl",
         "tenant": "souss", "memory_mib": 4096
@@ -10,15 +10,15 @@
 }
 
 #[test]
-fn a_minimal_document_takes_defaults() {
-    let document: DeploymentDocument = serde_json::from_value(minimal()).unwrap();
+fn missing_optional_fields_take_defaults() {
+    let document: DeploymentDocument = serde_json::from_value(minimal_document()).unwrap();
     assert!(document.validate().is_ok());
     assert_eq!(document.max_replicas, 1);
     assert_eq!(document.checkpoint_size_mib(), 4096);
 }
 
 #[test]
-fn each_faulty_field_is_named() {
+fn validation_error_names_the_invalid_field() {
     let cases = [
         ("version", serde_json::json!(0), "version"),
         ("name", serde_json::json!("a b"), "name"),
@@ -37,7 +37,7 @@
         ),
     ];
     for (field, value, expected) in cases {
-        let mut json = minimal();
+        let mut json = minimal_document();
         json[field] = value;
         let document: DeploymentDocument = serde_json::from_value(json).unwrap();
         let error = document.validate().unwrap_err();
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn an_unknown_field_is_refused() {
-    let mut json = minimal();
+fn unknown_field_is_rejected() {
+    let mut json = minimal_document();
     json["replicas"] = serde_json::json!(3);
     assert!(serde_json::from_value::<DeploymentDocument>(json).is_err());
 }
 
 #[test]
-fn fences_order_by_term_first() {
+fn fences_are_ordered_by_term_first() {
     let low = Fence {
         term: Term(1),
         sequence: 900,
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn names_round_trip() {
+fn text_forms_round_trip() {
     for class in PriorityClass::ALL {
         assert_eq!(PriorityClass::parse(class.as_str()), Some(class));
     }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -120,8 +120,8 @@
         Ok(Some(message))
     }
 
-    /// Reads the next frame and returns its packed content and checksum; `None` when the peer closed
-    /// the connection.
+    /// Reads the next frame and returns its packed content and checksum; `None` when the peer
+    /// closed the connection.
     async fn receive_frame(&mut self) -> Result<Option<(Vec<u8>, u32)>, WireError> {
         let mut header = [0_u8; HEADER_BYTES];
         match self.half.read_exact(&mut header).await {
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -266,7 +266,7 @@
         wire_address: String,
     },
     /// Answers [`Message::Join`] with the members of the group. A process that is not a member
-    /// itself answers with the members that it has learned of.
+    /// itself answers with the processes whose addresses it has.
     Joined {
         /// Whether the sender is the leader and adds the member to the group.
         leads: bool,
@@ -319,7 +319,8 @@
 pub enum LedgerResult {
     /// The command was committed.
     Committed(CommandReply),
-    /// The receiver is not the leader and did not accept the command; send it to another controller.
+    /// The receiver is not the leader and did not accept the command; send it to another
+    /// controller.
     NotLeader {
         /// Wire address of the leader, `ip:port`, if known.
         leader: Option<String>,
--- a/crates/wire/tests/compression.rs
+++ b/crates/wire/tests/compression.rs
@@ -1,13 +1,14 @@
-//! Contract of the compression: what is packed comes back, damage is told.
+//! Compression of frames and documents: content survives a round trip, and oversized content is
+//! rejected.
 
 use courseshunt_types::Revision;
 use courseshunt_wire::compression::{apply_difference, difference};
 use courseshunt_wire::{Message, decode, encode};
 
 const HEADER_BYTES: usize = 9;
-const LONGEST: usize = 8 * 1024 * 1024;
+const MAX_BYTES: usize = 8 * 1024 * 1024;
 
-/// A document of so many entries, each with a name of its own.
+/// A document with one entry for each number, each with a unique name.
 fn document(entries: std::ops::Range<u32>) -> Vec<u8> {
     let entry = |number: u32| {
         let name = number.wrapping_mul(2_654_435_761);
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn a_difference_is_as_short_as_what_changed() {
+fn difference_is_proportional_to_the_change() {
     let older = document(0..9_000);
     let newer = [
         document(0..4_000),
@@ -29,26 +30,26 @@
     .concat();
     let short = difference(&older, &newer).unwrap();
     assert!(short.len() < 4_000, "{} bytes", short.len());
-    assert_eq!(apply_difference(&older, &short, LONGEST).unwrap(), newer);
+    assert_eq!(apply_difference(&older, &short, MAX_BYTES).unwrap(), newer);
 }
 
 #[test]
-fn a_difference_from_nothing_is_the_document() {
+fn difference_from_the_empty_document_restores_the_document() {
     let newer = document(0..100);
-    let whole = difference(&[], &newer).unwrap();
-    assert_eq!(apply_difference(&[], &whole, LONGEST).unwrap(), newer);
-    assert!(whole.len() < newer.len() / 3);
+    let full = difference(&[], &newer).unwrap();
+    assert_eq!(apply_difference(&[], &full, MAX_BYTES).unwrap(), newer);
+    assert!(full.len() < newer.len() / 3);
 }
 
 #[test]
-fn a_difference_stands_for_no_more_than_its_reader_allows() {
+fn difference_that_exceeds_the_size_limit_is_rejected() {
     let newer = vec![0_u8; 1_000_000];
     let short = difference(&[], &newer).unwrap();
     assert!(apply_difference(&[], &short, 999_999).is_err());
 }
 
 #[test]
-fn a_frame_that_opens_to_too_much_is_refused() {
+fn frame_whose_content_exceeds_the_limit_is_rejected() {
     let mut content = vec![1];
     content.extend_from_slice(&u32::MAX.to_le_bytes());
     content.extend_from_slice(&[0; 20]);
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn short_messages_are_sent_as_they_are() {
+fn short_messages_are_not_compressed() {
     let message = Message::Confirmed {
         revision: Revision(4),
     };
--- a/crates/wire/tests/connection.rs
+++ b/crates/wire/tests/connection.rs
@@ -1,4 +1,5 @@
-//! Contract of connections: the key is proved both ways, bad frames close.
+//! Handshake of connections: both ends prove the cluster key, and an invalid handshake closes the
+//! connection.
 
 use courseshunt_types::{ControllerId, Revision};
 use courseshunt_wire::{
@@ -11,20 +12,24 @@
     ClusterKey::new(text.as_bytes()).unwrap()
 }
 
-const RIGHT: &str = "a key of sixteen bytes or more";
+const CLUSTER_KEY: &str = "a key of sixteen bytes or more";
 
 #[tokio::test]
-async fn messages_pass_after_both_proofs() {
+async fn messages_are_delivered_after_both_proofs() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tokio::spawn(async move {
         let (stream, from) = listener.accept().await.unwrap();
-        let me = PeerIdentity::Controller(ControllerId(1));
-        let mut connection = accept(stream, from, &key(RIGHT), &me).await.unwrap();
+        let identity = PeerIdentity::Controller(ControllerId(1));
+        let mut connection = accept(stream, from, &key(CLUSTER_KEY), &identity)
+            .await
+            .unwrap();
         connection.receiver.receive().await.unwrap()
     });
-    let me = PeerIdentity::Controller(ControllerId(2));
-    let mut connection = connect(address, &key(RIGHT), &me).await.unwrap();
+    let identity = PeerIdentity::Controller(ControllerId(2));
+    let mut connection = connect(address, &key(CLUSTER_KEY), &identity)
+        .await
+        .unwrap();
     assert_eq!(connection.peer, PeerIdentity::Controller(ControllerId(1)));
     let message = Message::Confirmed {
         revision: Revision(4),
@@ -34,27 +39,29 @@
 }
 
 #[tokio::test]
-async fn a_wrong_key_is_refused() {
+async fn wrong_key_is_rejected() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         let (stream, from) = listener.accept().await.unwrap();
-        let me = PeerIdentity::Controller(ControllerId(1));
-        let _ = accept(stream, from, &key("another key of some length"), &me).await;
+        let identity = PeerIdentity::Controller(ControllerId(1));
+        let _ = accept(stream, from, &key("another key of some length"), &identity).await;
     });
-    let me = PeerIdentity::Controller(ControllerId(2));
-    let error = connect(address, &key(RIGHT), &me).await.unwrap_err();
+    let identity = PeerIdentity::Controller(ControllerId(2));
+    let error = connect(address, &key(CLUSTER_KEY), &identity)
+        .await
+        .unwrap_err();
     assert!(matches!(error, WireError::Protocol { .. }), "{error}");
 }
 
 #[tokio::test]
-async fn garbage_ends_only_its_own_connection() {
+async fn invalid_handshake_is_rejected() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tokio::spawn(async move {
         let (stream, from) = listener.accept().await.unwrap();
-        let me = PeerIdentity::Controller(ControllerId(1));
-        accept(stream, from, &key(RIGHT), &me).await
+        let identity = PeerIdentity::Controller(ControllerId(1));
+        accept(stream, from, &key(CLUSTER_KEY), &identity).await
     });
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(&[0xff; 200]).await.unwrap();
@@ -62,18 +69,20 @@
 }
 
 #[tokio::test]
-async fn a_dialling_peer_comes_from_its_source_address() {
+async fn connection_uses_the_given_source_address() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tokio::spawn(async move {
         let (stream, from) = listener.accept().await.unwrap();
-        let me = PeerIdentity::Controller(ControllerId(1));
-        accept(stream, from, &key(RIGHT), &me).await.unwrap();
+        let identity = PeerIdentity::Controller(ControllerId(1));
+        accept(stream, from, &key(CLUSTER_KEY), &identity)
+            .await
+            .unwrap();
         from.ip()
     });
-    let me = PeerIdentity::Controller(ControllerId(2));
+    let identity = PeerIdentity::Controller(ControllerId(2));
     let source = "127.0.0.2".parse().unwrap();
-    let connected = connect_from(Some(source), address, &key(RIGHT), &me).await;
+    let connected = connect_from(Some(source), address, &key(CLUSTER_KEY), &identity).await;
     assert!(connected.is_ok());
     assert_eq!(server.await.unwrap(), source);
 }
--- a/crates/wire/tests/earlier_build.rs
+++ b/crates/wire/tests/previous_release.rs
@@ -1,5 +1,5 @@
-//! What is spoken with production's build. The files in `production` are the frames that
-//! e7d00e2 wrote; they are never written anew.
+//! Exchange of messages with the previous release. The files in `production` are frames that build
+//! e7d00e2 wrote; they must never be regenerated.
 
 use courseshunt_consensus::{ConsensusMessage, MembershipChange};
 use courseshunt_services::{
@@ -10,8 +10,8 @@
 use courseshunt_wire::message::CallId;
 use courseshunt_wire::{Message, PREVIOUS_RELEASE_VERSION, previous_release};
 
-/// Bytes of a frame before its content.
-const HEADER: usize = 9;
+/// Length of a frame's header, in bytes.
+const HEADER_BYTES: usize = 9;
 
 macro_rules! recorded {
     ($name:literal) => {
@@ -45,7 +45,7 @@
     }]
 }
 
-fn reports() -> Vec<(&'static [u8], Message)> {
+fn recorded_reports() -> Vec<(&'static [u8], Message)> {
     let demand = ModelDemand {
         service: "s".to_owned(),
         model: "m".to_owned(),
@@ -87,8 +87,8 @@
     reports.collect()
 }
 
-fn feed() -> Vec<(&'static [u8], Message)> {
-    let place = |address: &str| MemberPlace {
+fn recorded_feed() -> Vec<(&'static [u8], Message)> {
+    let member = |address: &str| MemberPlace {
         address: address.to_owned(),
         zone: None,
     };
@@ -101,7 +101,7 @@
         ),
         (
             recorded!("members"),
-            FeedMessage::Members(vec![place("10.0.0.7:7340"), place("10.0.0.8:7340")]),
+            FeedMessage::Members(vec![member("10.0.0.7:7340"), member("10.0.0.8:7340")]),
         ),
         (
             recorded!("configuration"),
@@ -137,7 +137,7 @@
     feed.collect()
 }
 
-fn members() -> Vec<(&'static [u8], Message)> {
+fn recorded_member_messages() -> Vec<(&'static [u8], Message)> {
     let group = GroupId(0);
     let member = ControllerId(7);
     let wire_address = "10.0.0.7:7340".to_owned();
@@ -156,7 +156,7 @@
         last_term: Term(2),
         transfer: false,
     };
-    let again = RelayedRegistration::Again {
+    let unchanged = RelayedRegistration::Again {
         id: RunnerId::from("a"),
         sequence: 8,
         repeats: 7,
@@ -223,7 +223,7 @@
         (recorded!("alive"), Message::PeerAlive),
         (
             recorded!("registrations"),
-            Message::Registrations(vec![again]),
+            Message::Registrations(vec![unchanged]),
         ),
         (
             recorded!("registrations-taken"),
@@ -250,42 +250,48 @@
     ]
 }
 
-fn read(frame: &[u8]) -> Result<Message, String> {
+fn decode_frame(frame: &[u8]) -> Result<Message, String> {
     assert_eq!(frame[0], PREVIOUS_RELEASE_VERSION);
     let checksum = u32::from_le_bytes([frame[5], frame[6], frame[7], frame[8]]);
-    previous_release::decode(&frame[HEADER..], checksum)
+    previous_release::decode(&frame[HEADER_BYTES..], checksum)
 }
 
 #[test]
-fn frames_of_productions_build_are_read_and_written_as_it_does() {
-    for (frame, message) in [reports(), feed(), members()].concat() {
-        assert_eq!(read(frame).as_ref(), Ok(&message));
-        let written = previous_release::encode(&message).expect("a message");
-        assert_eq!(written.as_deref(), Some(frame), "{message:?}");
+fn frames_of_the_previous_release_are_decoded_and_encoded_identically() {
+    for (frame, message) in [
+        recorded_reports(),
+        recorded_feed(),
+        recorded_member_messages(),
+    ]
+    .concat()
+    {
+        assert_eq!(decode_frame(frame).as_ref(), Ok(&message));
+        let encoded = previous_release::encode(&message).expect("encode the message");
+        assert_eq!(encoded.as_deref(), Some(frame), "{message:?}");
     }
 }
 
-/// It would take what it has no word for as damage, and close the connection.
+/// The previous release would treat an unknown message as damage and close the connection.
 #[test]
-fn productions_build_is_not_sent_what_it_has_no_word_for() {
-    let unknown = [
+fn messages_unknown_to_the_previous_release_are_not_sent() {
+    let unsupported = [
         Message::ServiceFeed(FeedMessage::Awaiting),
         Message::ServiceFeed(FeedMessage::Limits(Vec::new())),
         Message::ServiceFeed(FeedMessage::Digests(InstanceDigests::default())),
         Message::ServiceReport(ReportMessage::AskQuotas(Vec::new())),
         Message::RelayedReports(Vec::new()),
     ];
-    for message in unknown {
+    for message in unsupported {
         assert_eq!(previous_release::encode(&message), Ok(None), "{message:?}");
     }
 }
 
 #[test]
-fn damage_and_other_kinds_are_told() {
+fn truncated_frames_and_other_kinds_are_rejected() {
     let frame = recorded!("usage");
-    for length in HEADER..frame.len() {
-        assert!(read(&frame[..length]).is_err(), "{length} bytes");
+    for length in HEADER_BYTES..frame.len() {
+        assert!(decode_frame(&frame[..length]).is_err(), "{length} bytes");
     }
-    let told = read(recorded!("pong"));
-    assert!(told.is_err_and(|told| told.contains("not spoken")));
+    let result = decode_frame(recorded!("pong"));
+    assert!(result.is_err_and(|error| error.contains("not spoken")));
 }
--- a/crates/wire/tests/type_forms.rs
+++ b/crates/wire/tests/type_forms.rs
@@ -1,35 +1,35 @@
-//! What is agreed between processes or kept on disk does not change unseen: a digest of every
-//! type that is archived stands beside the versions that it belongs to.
+//! Guards against an unnoticed change of types that are sent between processes or stored on disk:
+//! a digest of all archived types is recorded together with the protocol version.
 
 use courseshunt_types::Digest;
 use courseshunt_wire::PROTOCOL_VERSION;
 use std::path::Path;
 
-/// The version of the protocol, and the types' digest.
-const KNOWN: (u8, &str) = (6, "2507437eb3dcdeca");
+/// Protocol version and digest of the archived types that belong together.
+const EXPECTED: (u8, &str) = (6, "2507437eb3dcdeca");
 
 const ADVICE: &str = "An archived type has changed. If it is on the wire: take the next \
-    PROTOCOL_VERSION, keep the types of the version before in wire::previous_release, and translate. If it is \
-    in the replicated state: keep the form before in state::stored. New commands go to the end of \
-    their list. If the form is the same (a name, a move, a type that is never sent or kept), say so \
-    in the commit. Then put the new digest here";
+    PROTOCOL_VERSION, keep the types of the previous version in wire::previous_release, and translate. If it is \
+    in the replicated state: keep the previous form in state::stored. New commands are appended \
+    to their enum. If the form is the same (a rename, a move, a type that is never sent or stored), say \
+    so in the commit. Then record the new digest here";
 
-/// Adds the types of a folder's sources that are archived, without comments and spaces.
-fn collect(folder: &Path, types: &mut Vec<String>) {
-    let entries = std::fs::read_dir(folder).expect("a folder");
+/// Adds the definitions of all archived types in a directory's sources, without comments and spaces.
+fn collect(directory: &Path, types: &mut Vec<String>) {
+    let entries = std::fs::read_dir(directory).expect("read a source directory");
     for entry in entries {
-        let path = entry.expect("an entry").path();
+        let path = entry.expect("read a directory entry").path();
         if path.is_dir() {
             collect(&path, types);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
-            let source = std::fs::read_to_string(&path).expect("a source");
-            types.extend(archived(&source));
+            let source = std::fs::read_to_string(&path).expect("read a source file");
+            types.extend(archived_types(&source));
         }
     }
 }
 
-/// The definitions in a source that are archived.
-fn archived(source: &str) -> Vec<String> {
+/// Definitions of the archived types in a source.
+fn archived_types(source: &str) -> Vec<String> {
     let lines = source
         .lines()
         .map(|line| line.split("//").next().unwrap_or_default());
@@ -46,13 +46,13 @@
     found
 }
 
-/// The item that a text begins with, without the spaces.
+/// The item at the beginning of a text, without spaces.
 fn definition(text: &str) -> String {
     let mut depth = 0_usize;
-    let mut taken = String::new();
+    let mut item = String::new();
     for character in text.chars() {
         if !character.is_whitespace() {
-            taken.push(character);
+            item.push(character);
         }
         match character {
             '{' | '(' => depth += 1,
@@ -64,11 +64,11 @@
             break;
         }
     }
-    taken
+    item
 }
 
 #[test]
-fn no_archived_type_changes_without_a_new_version() {
+fn archived_types_match_the_recorded_digest() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut types = Vec::new();
     for name in [
@@ -83,17 +83,21 @@
         collect(&crates.join(name).join("src"), &mut types);
     }
     types.sort();
-    assert!(types.len() > 100, "{} types were found", types.len());
+    assert!(
+        types.len() > 100,
+        "only {} archived types were found",
+        types.len()
+    );
     let digest = Digest::of(types.join("\n").as_bytes()).short();
-    assert_eq!((PROTOCOL_VERSION, digest.as_str()), KNOWN, "{ADVICE}");
+    assert_eq!((PROTOCOL_VERSION, digest.as_str()), EXPECTED, "{ADVICE}");
 }
 
 #[test]
-fn a_definition_is_taken_whole() {
+fn definitions_are_extracted_completely() {
     let source = "/// A {\n#[derive(Debug, rkyv::Archive)]\npub struct A {\n    /// x }\n    b: (u8, u16),\n}\n\
         #[derive(Debug)]\nstruct B;\n#[derive(rkyv::Archive)] pub struct C(pub u64);\nfn d() {}";
     assert_eq!(
-        archived(source),
+        archived_types(source),
         ["pubstructA{b:(u8,u16),}", "pubstructC(pubu64);"]
     );
 }
