--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -155,7 +155,7 @@
 }
 
 /// A refusal as sent to a client. It is sent as soon as it is certain that the request can't be
-/// served; `retry_after` says when a retry makes sense.
+/// served; `retry_after` gives the time after which a retry may succeed.
 #[derive(
     Debug,
     Clone,
--- a/crates/types/src/overview.rs
+++ b/crates/types/src/overview.rs
@@ -27,7 +27,7 @@
     pub control_group: Option<ControlGroupOverview>,
     /// Routers that are subscribed to the controller's feed.
     pub routers: Vec<RouterOverview>,
-    /// Registered runners.
+    /// Runners in the replicated state.
     pub runners: Vec<RunnerOverview>,
     /// Deployments in force.
     pub deployments: Vec<DeploymentOverview>,
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -268,8 +268,7 @@
     /// Time for which the machine was suspended since the last reported suspend, if it was.
     pub fn check(&mut self, clock: &MonotonicClock) -> Option<Millis> {
         let elapsed = clock.now().since(self.start);
-        let running = self.monotonic_start.elapsed().as_millis();
-        let running = u64::try_from(running).unwrap_or(u64::MAX);
+        let running = u64::try_from(self.monotonic_start.elapsed().as_millis()).unwrap_or(u64::MAX);
         let total = Millis(elapsed.0.saturating_sub(running));
         let suspended = Millis(total.0.saturating_sub(self.reported.0));
         if suspended < MIN_SUSPEND {
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -283,18 +283,18 @@
     }
 
     async fn dial(mut self, identity: &PeerIdentity) -> Result<Connection, WireError> {
-        let mine = self.send_nonce().await?;
-        let theirs = self.read_nonce().await?;
-        let nonces = [mine.as_slice(), theirs.as_slice()];
+        let own_nonce = self.send_nonce().await?;
+        let peer_nonce = self.read_nonce().await?;
+        let nonces = [own_nonce.as_slice(), peer_nonce.as_slice()];
         let peer = self.read_proof(LISTENER, nonces).await?;
         self.send_proof(DIALLER, nonces, identity).await?;
         Ok(self.finish(peer))
     }
 
     async fn answer(mut self, identity: &PeerIdentity) -> Result<Connection, WireError> {
-        let theirs = self.read_nonce().await?;
-        let mine = self.send_nonce().await?;
-        let nonces = [theirs.as_slice(), mine.as_slice()];
+        let peer_nonce = self.read_nonce().await?;
+        let own_nonce = self.send_nonce().await?;
+        let nonces = [peer_nonce.as_slice(), own_nonce.as_slice()];
         self.send_proof(LISTENER, nonces, identity).await?;
         let peer = self.read_proof(DIALLER, nonces).await?;
         Ok(self.finish(peer))
--- a/crates/wire/src/traffic.rs
+++ b/crates/wire/src/traffic.rs
@@ -146,7 +146,10 @@
         Message::ServiceFeed(feed) => feed_index(feed),
         Message::ServiceReport(_) | Message::FollowLeader { .. } | Message::RelayedReports(_) => 13,
         Message::RelayedAnswer { answer, .. } => feed_index(answer),
-        #[allow(unreachable_patterns, reason = "kinds that are appended later")]
+        #[allow(
+            unreachable_patterns,
+            reason = "covers variants that are appended later"
+        )]
         _ => MESSAGE_KINDS.len() - 1,
     }
 }
--- a/crates/wire/tests/type_forms.rs
+++ b/crates/wire/tests/type_forms.rs
@@ -9,12 +9,13 @@
 const EXPECTED: (u8, &str) = (6, "2507437eb3dcdeca");
 
 const ADVICE: &str = "An archived type has changed. If it is on the wire: take the next \
-    PROTOCOL_VERSION, keep the types of the previous version in wire::previous_release, and translate. If it is \
-    in the replicated state: keep the previous form in state::stored. New commands are appended \
-    to their enum. If the form is the same (a rename, a move, a type that is never sent or stored), say \
-    so in the commit. Then record the new digest here";
+    PROTOCOL_VERSION, keep the types of the previous version in wire::previous_release, and \
+    translate. If it is in the replicated state: keep the previous form in state::stored. New \
+    commands are appended to their enum. If the form is the same (a rename, a move, a type that is \
+    never sent or stored), say so in the commit. Then record the new digest here";
 
-/// Adds the definitions of all archived types in a directory's sources, without comments and spaces.
+/// Adds the definitions of all archived types in a directory's sources, without comments and
+/// spaces.
 fn collect(directory: &Path, types: &mut Vec<String>) {
     let entries = std::fs::read_dir(directory).expect("read a source directory");
     for entry in entries {
