--- a/crates/coordinator/src/feed.rs
+++ b/crates/coordinator/src/feed.rs
@@ -40,7 +40,7 @@
     let ended = match connection {
         Ok(connection) => match connection.peer.clone() {
             // Members of the previous release have no separate port for each other.
-            PeerIdentity::Controller(_) if connection.is_earlier() => {
+            PeerIdentity::Controller(_) if connection.is_previous_release() => {
                 member_thread::serve_member(connection, address, &shared).await
             }
             PeerIdentity::Controller(peer) => {
@@ -73,7 +73,7 @@
     number: u64,
     shared: &Arc<Shared>,
 ) -> Result<(), WireError> {
-    let is_previous_release = connection.is_earlier();
+    let is_previous_release = connection.is_previous_release();
     let Connection {
         mut sender,
         mut receiver,
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -52,7 +52,7 @@
     QuotaSettings,
 };
 use courseshunt_settings::service::{SeedList, ServiceSettings};
-use courseshunt_types::time::{MonotonicClock, SleepWatch};
+use courseshunt_types::time::{MonotonicClock, SuspendDetector};
 use courseshunt_types::{ControllerId, Millis, Timestamp, Zone};
 use courseshunt_wire::ClusterKey;
 use error::{BindSnafu, MemberThreadSnafu, ReplicaSnafu};
@@ -254,10 +254,10 @@
 /// Records when the machine was suspended. Nothing depends on this task: expiry is evaluated by
 /// a clock that includes the time of a suspension.
 async fn watch_suspension(shared: Arc<Shared>) {
-    let mut watch = SleepWatch::start(&shared.clock);
+    let mut watch = SuspendDetector::start(&shared.clock);
     loop {
         tokio::time::sleep(SUSPENSION_CHECK_INTERVAL).await;
-        if let Some(suspended) = watch.look(&shared.clock) {
+        if let Some(suspended) = watch.check(&shared.clock) {
             shared.metrics.suspended(suspended);
             emit(&ControllerRecord::Slept {
                 slept_ms: suspended.0,
--- a/crates/coordinator/src/relay.rs
+++ b/crates/coordinator/src/relay.rs
@@ -140,9 +140,9 @@
     while let Some(message) = receiver.receive().await? {
         match message {
             Message::PeerAlive => {}
-            Message::RegistrationsTaken {
+            Message::RegistrationsReply {
                 leads: true,
-                lacked,
+                missing: lacked,
             } => return Ok(Some(lacked)),
             _ => return Ok(None),
         }
@@ -179,5 +179,8 @@
             lacked.len()
         );
     }
-    Message::RegistrationsTaken { leads, lacked }
+    Message::RegistrationsReply {
+        leads,
+        missing: lacked,
+    }
 }
--- a/crates/coordinator/src/upstream.rs
+++ b/crates/coordinator/src/upstream.rs
@@ -199,7 +199,7 @@
 /// Subscribes to a leader's feed and relays it until it ends.
 async fn subscribe(address: SocketAddr, shared: &Arc<Shared>) -> Result<(), WireError> {
     let connection = leader_link::connect(address, shared).await?;
-    let is_previous_release = connection.is_earlier();
+    let is_previous_release = connection.is_previous_release();
     shared
         .upstream
         .set_leader_is_previous_release(is_previous_release);
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -10,8 +10,8 @@
 use courseshunt_services::{FeedMessage, LimitReport, ReportMessage, RouteTable, validate};
 use courseshunt_types::{Incarnation, RouterId, RunnerId};
 use courseshunt_wire::{
-    ClusterKey, Connection, EARLIER_VERSION, Message, PeerIdentity, Receiver, Sender, WireError,
-    connect_within,
+    ClusterKey, Connection, Message, PREVIOUS_RELEASE_VERSION, PeerIdentity, Receiver, Sender,
+    WireError, connect_within,
 };
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -70,7 +70,7 @@
     } = connected?;
     search.dial_limit.succeeded();
     // A controller of the previous release sends nothing before the subscription.
-    if version != EARLIER_VERSION {
+    if version != PREVIOUS_RELEASE_VERSION {
         if let FeedMessage::Members(members) = receive(&mut receiver, address).await? {
             search.set_members(members);
         }
@@ -123,7 +123,7 @@
     loop {
         let message = receive(&mut receiver, address).await?;
         // In the previous release only the leader sends a feed.
-        if check_at <= Instant::now() && version != EARLIER_VERSION {
+        if check_at <= Instant::now() && version != PREVIOUS_RELEASE_VERSION {
             if search.has_preferred(address) {
                 return Ok(FeedEnd::Preferred);
             }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -42,7 +42,7 @@
 
 use courseshunt_records::emit;
 use courseshunt_settings::service::{SeedList, ServiceSettings};
-use courseshunt_types::time::{MonotonicClock, SleepWatch};
+use courseshunt_types::time::{MonotonicClock, SuspendDetector};
 use error::{BindSnafu, NoAddressSnafu, ShortKeySnafu};
 use instance_reports::UnknownHeaders;
 use limit_tracker::LimitTracker;
@@ -105,10 +105,10 @@
 /// Records suspensions of the machine. Nothing depends on this task: expiry is always evaluated
 /// against a clock that counts suspended time.
 async fn watch_suspend(shared: Arc<Shared>) {
-    let mut watch = SleepWatch::start(&shared.clock);
+    let mut watch = SuspendDetector::start(&shared.clock);
     loop {
         tokio::time::sleep(SUSPEND_CHECK_INTERVAL).await;
-        if let Some(suspended) = watch.look(&shared.clock) {
+        if let Some(suspended) = watch.check(&shared.clock) {
             shared.metrics.add_suspended(suspended);
             emit(&RouterRecord::Slept {
                 slept_ms: suspended.0,
--- a/crates/services/src/budget.rs
+++ b/crates/services/src/budget.rs
@@ -87,7 +87,7 @@
     /// uniform over routers in [0, 1].
     fn draw(&self, now: Timestamp) -> f64 {
         let period_ms = (self.window.0 * WINDOWS_PER_DRAW).max(1);
-        let period = (now + Millis(self.seed % period_ms)).stretch(Millis(period_ms));
+        let period = (now + Millis(self.seed % period_ms)).window_index(Millis(period_ms));
         xxh3_64_with_seed(&period.to_le_bytes(), self.seed) as f64 / u64::MAX as f64
     }
 
--- a/crates/services/src/quota/history.rs
+++ b/crates/services/src/quota/history.rs
@@ -41,7 +41,7 @@
 
     /// Adds `units` used at a time; `unreported` of them have not been reported to the leader.
     pub fn add(&mut self, units: i64, unreported: i64, at: Timestamp) {
-        let start = at.stretch_begin(self.slot);
+        let start = at.window_start(self.slot);
         let position = self.slots.partition_point(|slot| slot.at < start);
         if self.slots.get(position).is_none_or(|slot| slot.at != start) {
             let slot = Slot {
--- a/crates/services/tests/incarnations.rs
+++ b/crates/services/tests/incarnations.rs
@@ -11,7 +11,7 @@
 
 fn registration(started: Option<u64>, sequence: u64, model: &str) -> Registration {
     let id = match started {
-        Some(started) => RunnerId::of_life("i-1", started),
+        Some(started) => RunnerId::of_incarnation("i-1", started),
         None => RunnerId::from("i-1"),
     };
     Registration {
@@ -56,14 +56,14 @@
     assert!(engine.register(registration(Some(FIRST), 90, "old"), now));
     // Its sequence number is far below that of the previous incarnation.
     assert!(engine.register(registration(Some(SECOND), 1, "new"), now));
-    let later = vec![(RunnerId::of_life("i-1", SECOND), "new".to_owned())];
+    let later = vec![(RunnerId::of_incarnation("i-1", SECOND), "new".to_owned())];
     assert_eq!(models(&engine, now), later);
     assert!(!engine.register(registration(Some(FIRST), 91, "old"), now));
-    engine.mark_terminated(&RunnerId::of_life("i-1", FIRST), now);
+    engine.mark_terminated(&RunnerId::of_incarnation("i-1", FIRST), now);
     assert_eq!(models(&engine, now), later);
     let (_, gone) = engine.take_changes(now);
     assert!(
-        gone.contains(&RunnerId::of_life("i-1", FIRST)),
+        gone.contains(&RunnerId::of_incarnation("i-1", FIRST)),
         "routers are notified"
     );
 }
@@ -89,9 +89,12 @@
         sequence: 9,
         ..InstanceReport::default()
     };
-    engine.on_report(&RunnerId::of_life("i-1", SECOND), Some(report), now);
+    engine.on_report(&RunnerId::of_incarnation("i-1", SECOND), Some(report), now);
     let held = models(&engine, now);
-    assert_eq!(held, [(RunnerId::of_life("i-1", SECOND), "new".to_owned())]);
+    assert_eq!(
+        held,
+        [(RunnerId::of_incarnation("i-1", SECOND), "new".to_owned())]
+    );
 }
 
 #[test]
@@ -154,7 +157,7 @@
             latest = latest.max(started);
             let held = models(&engine, now);
             prop_assert_eq!(held.len(), 1);
-            prop_assert_eq!(&held[0].0, &RunnerId::of_life("i-1", latest));
+            prop_assert_eq!(&held[0].0, &RunnerId::of_incarnation("i-1", latest));
             prop_assert_eq!(&held[0].1, &format!("m{latest}"));
         }
     }
--- a/crates/services/tests/plain_service_balance.rs
+++ b/crates/services/tests/plain_service_balance.rs
@@ -77,7 +77,7 @@
             routers[one.router].first_answer(&one.candidate, REQUEST_DURATION, true);
             routers[one.router].end(&one.candidate, true);
         }
-        if now.stretch_begin(USAGE_REPORT_INTERVAL) == now {
+        if now.window_start(USAGE_REPORT_INTERVAL) == now {
             report_usage(&running, &mut routers, now);
         }
         if random.next_u64() % 1_000 >= ARRIVALS_PER_1000_MS {
--- a/crates/services/tests/pushback.rs
+++ b/crates/services/tests/pushback.rs
@@ -119,7 +119,7 @@
 
 #[test]
 fn leaving_overrides_later_reports_of_the_same_incarnation() {
-    let first = RunnerId::of_life("a", 1);
+    let first = RunnerId::of_incarnation("a", 1);
     let mut views = [view("a"), view("b")];
     views[0].id = first.clone();
     let mut selector = selector();
@@ -132,7 +132,7 @@
     assert_eq!(selector.pushback(&views[0], later), Some(Pushback::Leaving));
     let chosen = send(&mut selector, &views, later).expect("a choice");
     assert_eq!(chosen.instance, views[1].id);
-    views[0].id = RunnerId::of_life("a", 2);
+    views[0].id = RunnerId::of_incarnation("a", 2);
     assert_eq!(
         selector.pushback(&views[0], later),
         None,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,24 +1,24 @@
 //! Framed, authenticated connections between the processes and the messages
 //! they carry.
 //!
-//! Invariant: no message is handed on before both sides have proved that they
-//! know the cluster key. A frame that can't be read closes its connection and
-//! harms nothing else.
+//! Invariant: no message is delivered before both ends have proved that they
+//! hold the cluster key. A frame that can't be decoded closes its connection and
+//! affects nothing else.
 
 #![allow(
     missing_docs,
-    reason = "the fields of the archived enums that rkyv derives carry no docs"
+    reason = "the fields of the archived enums that rkyv generates have no doc comments"
 )]
 
 pub mod compression;
 mod connection;
 mod dial_limit;
-pub mod earlier;
 pub mod error;
 mod frame;
 mod handshake;
 pub mod message;
 mod parts;
+pub mod previous_release;
 mod traffic;
 
 pub use connection::{
@@ -27,7 +27,8 @@
 pub use dial_limit::DialLimit;
 pub use error::WireError;
 pub use frame::{
-    EARLIER_VERSION, Frame, MAX_COMMAND_BYTES, MAX_FRAME_BYTES, PROTOCOL_VERSION, decode, encode,
+    Frame, MAX_COMMAND_BYTES, MAX_FRAME_BYTES, PREVIOUS_RELEASE_VERSION, PROTOCOL_VERSION, decode,
+    encode,
 };
 pub use handshake::{ClusterKey, MIN_KEY_BYTES, PeerIdentity};
 pub use message::Message;
