--- a/crates/consensus/src/core/contact.rs
+++ b/crates/consensus/src/core/contact.rs
@@ -2,8 +2,8 @@
 //! from a quorum, a leader will soon be elected there; if it does not, a leader may be elected
 //! without it.
 //!
-//! The detection relies on this: within two election timeouts after the last message of a leader, each live voter
-//! requests the votes of the others or replies to such a request.
+//! The detection relies on this: within two election timeouts after the last message of a
+//! leader, each live voter requests the votes of the others or replies to such a request.
 
 use super::{Core, Role};
 use courseshunt_types::{ControllerId, Millis, Timestamp};
--- a/crates/storage/src/segment_log.rs
+++ b/crates/storage/src/segment_log.rs
@@ -2,9 +2,9 @@
 //!
 //! Invariant: when the name of a segment or snapshot is durable, so is the
 //! content that was written to it before. Each sync writes one frame, and a frame
-//! is written only after the one before it is durable. Every segment begins with the hard state, so that old segments can
-//! be removed. Data found when the store is opened is made durable before it is
-//! recovered.
+//! is written only after the one before it is durable. Every segment begins with
+//! the hard state, so that old segments can be removed. Data found when the store
+//! is opened is made durable before it is recovered.
 
 use crate::error::{FileSnafu, StorageError};
 use crate::folder::{Folder, RealFolder};
