--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -40,7 +40,7 @@
         let router = Router::start(settings).await?;
         tokio::select! {
             signal = stop_signal() => signal?,
-            () = router.drain_asked() => {}
+            () = router.drain_requested() => {}
         }
         router.stop().await;
         Ok(())
--- a/crates/lab/tests/attempts.rs
+++ b/crates/lab/tests/attempts.rs
@@ -65,7 +65,7 @@
         true,
         "unknown",
         1,
-        Some(Count::CutShort),
+        Some(Count::Truncated),
     ),
     (
         "dies before the first token",
@@ -121,7 +121,7 @@
         false,
         "done",
         1,
-        Some(Count::CutShort),
+        Some(Count::Truncated),
     ),
     (
         "cut short, stream",
@@ -153,7 +153,7 @@
         true,
         "unknown",
         1,
-        Some(Count::CutShort),
+        Some(Count::Truncated),
     ),
     (
         "forgotten before the first token",
@@ -169,7 +169,7 @@
         true,
         "done",
         1,
-        Some(Count::Doubled),
+        Some(Count::Duplicate),
     ),
     (
         "crossed answer",
@@ -177,7 +177,7 @@
         false,
         "done",
         1,
-        Some(Count::Crossed),
+        Some(Count::Mismatched),
     ),
     (
         "crossed events",
@@ -185,7 +185,7 @@
         true,
         "done",
         1,
-        Some(Count::Crossed),
+        Some(Count::Mismatched),
     ),
     (
         "head of another request",
@@ -193,7 +193,7 @@
         false,
         "done",
         1,
-        Some(Count::Crossed),
+        Some(Count::Mismatched),
     ),
     (
         "head of another request, stream",
@@ -201,7 +201,7 @@
         true,
         "done",
         1,
-        Some(Count::Crossed),
+        Some(Count::Mismatched),
     ),
     (
         "head of an earlier attempt",
--- a/crates/router/src/attempt/answer.rs
+++ b/crates/router/src/attempt/answer.rs
@@ -81,8 +81,8 @@
                         open.end(AttemptEvent::Finished);
                         return Ok(body);
                     }
-                    BodyVerdict::Crossed => open.context().counts.add(Count::Crossed),
-                    BodyVerdict::CutShort => open.context().counts.add(Count::CutShort),
+                    BodyVerdict::Crossed => open.context().counts.add(Count::Mismatched),
+                    BodyVerdict::CutShort => open.context().counts.add(Count::Truncated),
                 },
                 Err(HttpError::TooLarge { .. }) => {
                     return Err(open.end(AttemptEvent::Failed(UnknownCause::TooLarge)));
@@ -93,7 +93,7 @@
                 }
                 Err(error) => {
                     log::info!("attempt: {}: {error}", open.query().request);
-                    open.context().counts.add(Count::CutShort);
+                    open.context().counts.add(Count::Truncated);
                 }
             }
         }
--- a/crates/router/src/attempt/counts.rs
+++ b/crates/router/src/attempt/counts.rs
@@ -14,11 +14,11 @@
     /// An answer or event of an earlier attempt, dropped.
     Late,
     /// An answer or event of another request, dropped.
-    Crossed,
+    Mismatched,
     /// An event that came twice, dropped.
-    Doubled,
+    Duplicate,
     /// An answer that ended early.
-    CutShort,
+    Truncated,
     /// An answer that went on after a break, from the same runner.
     Resumed,
     /// A running request that was ended at its runner, since its caller left.
@@ -53,9 +53,9 @@
     (Count::Retry, "attempts", "retry"),
     (Count::RetryRefused, "attempts", "retry_refused"),
     (Count::Late, "attempts", "late"),
-    (Count::Crossed, "attempts", "crossed"),
-    (Count::Doubled, "attempts", "doubled"),
-    (Count::CutShort, "attempts", "cut_short"),
+    (Count::Mismatched, "attempts", "crossed"),
+    (Count::Duplicate, "attempts", "doubled"),
+    (Count::Truncated, "attempts", "cut_short"),
     (Count::Resumed, "attempts", "resumed"),
     (Count::Cancelled, "attempts", "cancelled"),
     (Count::ClaimOpened, "claims", "opened"),
--- a/crates/router/src/attempt/send.rs
+++ b/crates/router/src/attempt/send.rs
@@ -265,7 +265,7 @@
     let request = header(REQUEST_ID_HEADER);
     let attempt = header(ATTEMPT_HEADER).and_then(|text| text.parse().ok());
     if request != Some(query.request.as_str()) {
-        context.counts.add(Count::Crossed);
+        context.counts.add(Count::Mismatched);
         return false;
     }
     if attempt != Some(query.attempt.0) {
--- a/crates/router/src/attempt/stream.rs
+++ b/crates/router/src/attempt/stream.rs
@@ -88,11 +88,11 @@
                 Ok(Some(event))
             }
             EventVerdict::Doubled => {
-                counts.add(Count::Doubled);
+                counts.add(Count::Duplicate);
                 Ok(None)
             }
             EventVerdict::Crossed => {
-                counts.add(Count::Crossed);
+                counts.add(Count::Mismatched);
                 Ok(None)
             }
             EventVerdict::Gap => {
@@ -141,7 +141,7 @@
     async fn resume(&mut self, problem: &str) -> Result<(), AttemptEnd> {
         self.parser.clear();
         let context = self.open.context().clone();
-        context.counts.add(Count::CutShort);
+        context.counts.add(Count::Truncated);
         while self.resumes < MAX_RESUMES {
             tokio::time::sleep(RESUME_PAUSE * 2_u32.pow(self.resumes)).await;
             self.resumes += 1;
--- a/crates/router/src/control/client.rs
+++ b/crates/router/src/control/client.rs
@@ -81,7 +81,7 @@
     fn jobs_queued(&self, _jobs: Vec<QueuedJob>) {}
 
     /// Told to stop as planned.
-    fn drain_asked(&self) {}
+    fn drain_requested(&self) {}
 
     /// Noted when a controller was told that the router stops.
     fn leaving_told(&self) {}
@@ -113,7 +113,7 @@
         self.jobs.set(jobs, self.clock.now());
     }
 
-    fn drain_asked(&self) {
+    fn drain_requested(&self) {
         log::info!("router: an operator asks for a planned stop");
         self.drain.cancel();
     }
--- a/crates/router/src/control/link.rs
+++ b/crates/router/src/control/link.rs
@@ -186,7 +186,7 @@
             }
             Message::FeedConfirmation { age, revision } => self.confirmed(age, revision),
             Message::Jobs { jobs } => self.client.jobs_queued(jobs),
-            Message::Drain => self.client.drain_asked(),
+            Message::Drain => self.client.drain_requested(),
             Message::LedgerReply { call, result } => self.pending().answer(call, result),
             other => log::warn!("control: unexpected message {other:?}"),
         }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -193,7 +193,7 @@
     }
 
     /// Waits until an operator asks for a planned stop.
-    pub async fn drain_asked(&self) {
+    pub async fn drain_requested(&self) {
         self.context.drain.cancelled().await;
     }
 
