--- a/crates/router/examples/failover.rs
+++ b/crates/router/examples/failover.rs
@@ -1,9 +1,9 @@
-//! How long a waiting request's grant is delayed when the owner of its queue
-//! is lost: from the loss to the grant, while a slot is free.
+//! Measures the delay of a waiting request's grant when the owner of its queue is
+//! lost: from the loss to the grant, while a slot is free.
 //!
 //! `cargo run --release -p courseshunt-router --example failover`
 
-#[allow(dead_code, missing_docs, reason = "the support of the tests")]
+#[allow(dead_code, missing_docs, reason = "shared with the tests")]
 #[path = "../tests/support/mod.rs"]
 mod support;
 
@@ -20,13 +20,13 @@
 /// How the owner is lost.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Loss {
-    /// It dies; the fleet tells it at once.
+    /// It fails; the fleet view reports it at once.
     DiesAndFleetTells,
-    /// It dies; the fleet lags.
+    /// It fails; the fleet view is stale.
     Dies,
-    /// It is cut off: its connections stay open and silent.
+    /// It is cut off: its connections stay open without traffic.
     SilentCut,
-    /// It stops as planned.
+    /// It performs a planned stop.
     PlannedStop,
 }
 
@@ -39,13 +39,13 @@
         Loss::Dies,
         Loss::SilentCut,
     ] {
-        let mut gaps = Vec::new();
+        let mut delays = Vec::new();
         for _ in 0..ROUNDS {
-            gaps.push(round(loss).await);
+            delays.push(round(loss).await);
         }
-        gaps.sort_unstable();
-        let (half, most) = (gaps[ROUNDS / 2], gaps[ROUNDS - 1]);
-        println!("  {loss:?}: median {half:.1?}, longest {most:.1?}");
+        delays.sort_unstable();
+        let (median, longest) = (delays[ROUNDS / 2], delays[ROUNDS - 1]);
+        println!("  {loss:?}: median {median:.1?}, longest {longest:.1?}");
     }
 }
 
@@ -56,41 +56,42 @@
     let target = cluster.nodes[owner].endpoint.wire_address.clone();
     cluster.nodes[owner].endpoint.wire_address = proxy(target, cut.clone()).await.to_string();
     cluster.set_fleet(&[0, 1, 2]);
-    let waiting = cluster.nodes[first].ask("waiting", PriorityClass::Interactive, LONG);
-    cluster.until_waiting(owner, 1).await;
+    let waiting = cluster.nodes[first].submit("waiting", PriorityClass::Interactive, LONG);
+    cluster.wait_until_queued(owner, 1).await;
     let lost = Instant::now();
     match loss {
         Loss::SilentCut => cut.cancel(),
         Loss::PlannedStop => cluster.nodes[owner].dispatcher.stop(),
-        Loss::Dies | Loss::DiesAndFleetTells => cluster.nodes[owner].die(),
+        Loss::Dies | Loss::DiesAndFleetTells => cluster.nodes[owner].cut_off(),
     }
     if loss == Loss::DiesAndFleetTells {
         cluster.set_fleet(&[first, second]);
     }
-    cluster.place_at(&[first, second], 1);
+    cluster.set_replicas_at(&[first, second], 1);
     answer(waiting).await.expect("a grant from another owner");
     lost.elapsed()
 }
 
-/// Passes bytes on until `cut`, then keeps all connections open in silence.
+/// Forwards bytes until `cut` is cancelled, then keeps all connections open without
+/// traffic.
 async fn proxy(target: String, cut: CancellationToken) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     tokio::spawn(async move {
         let mut silent = Vec::new();
-        while let Ok((mut near, _)) = listener.accept().await {
+        while let Ok((mut client, _)) = listener.accept().await {
             if cut.is_cancelled() {
-                silent.push(near);
+                silent.push(client);
                 continue;
             }
             let (target, cut) = (target.clone(), cut.clone());
             tokio::spawn(async move {
-                let Ok(mut far) = TcpStream::connect(target).await else {
+                let Ok(mut server) = TcpStream::connect(target).await else {
                     return;
                 };
-                let _ = (near.set_nodelay(true), far.set_nodelay(true));
-                let passing = tokio::io::copy_bidirectional(&mut near, &mut far);
-                if cut.run_until_cancelled(passing).await.is_none() {
+                let _ = (client.set_nodelay(true), server.set_nodelay(true));
+                let forwarding = tokio::io::copy_bidirectional(&mut client, &mut server);
+                if cut.run_until_cancelled(forwarding).await.is_none() {
                     std::future::pending::<()>().await;
                 }
             });
--- a/crates/router/examples/router_bench/main.rs
+++ b/crates/router/examples/router_bench/main.rs
@@ -1,10 +1,11 @@
-//! Figures of routers on loopback sockets, each part in one run:
+//! Benchmarks of routers on loopback sockets. Each part is run on its own:
 //!
 //! `cargo run --release -p courseshunt-router --example router_bench -- PART`
 //!
-//! `latency`: warm requests against direct calls to the runner. `rate`:
-//! requests a second, processor time and ticket bytes. `waiting`: memory of
-//! requests that wait. `goodput`: answers in time under overload.
+//! `latency`: warm requests through routers compared with direct calls to the
+//! runner. `rate`: requests per second, CPU time and bytes of tickets. `waiting`:
+//! memory of waiting requests. `goodput`: answers within the deadline under
+//! overload.
 
 mod site;
 
@@ -12,7 +13,7 @@
 use courseshunt_metrics::process_usage;
 use courseshunt_standin::model::EngineTiming;
 use courseshunt_wire::traffic;
-use site::{BenchSite, BenchSize, COLD, WARM, ask, body};
+use site::{BenchSite, BenchSize, COLD, WARM, body, send_request};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,7 +23,7 @@
 
 const LONG: Duration = Duration::from_secs(60);
 
-/// An engine that takes almost no time.
+/// Timing of an engine with negligible service time.
 const FAST: EngineTiming = EngineTiming {
     first_token_ms: 1.0,
     prompt_token_ms: 0.0,
@@ -55,8 +56,8 @@
     times[(last as f64 * part) as usize]
 }
 
-/// Warm requests one after the other, in turn: direct, through the owner,
-/// through another router.
+/// Sends warm requests one at a time, alternating between the runner itself, the
+/// queue's owner and another router.
 async fn latency() {
     const ROUNDS: usize = 3000;
     let site = BenchSite::start(BenchSize {
@@ -67,37 +68,37 @@
     })
     .await;
     let (owner, other) = site.owner_and_other(WARM);
-    let ways = [
+    let paths = [
         ("direct", site.runners[0].address),
         ("through the owner", site.routers[owner].http_address),
         ("through another router", site.routers[other].http_address),
     ];
     let client = HttpClient::default();
-    let mut times = vec![Vec::new(); ways.len()];
+    let mut times = vec![Vec::new(); paths.len()];
     for round in 0..ROUNDS {
-        for (number, (name, address)) in ways.iter().enumerate() {
+        for (number, (name, address)) in paths.iter().enumerate() {
             let request = format!("{name}-{round}").replace(' ', "-");
             let begun = Instant::now();
-            let status = ask(&client, *address, body(WARM, 1), &request, LONG).await;
+            let status = send_request(&client, *address, body(WARM, 1), &request, LONG).await;
             assert_eq!(status, 200, "{name}");
             times[number].push(begun.elapsed());
         }
     }
     println!("latency of {ROUNDS} warm requests, one at a time:");
     let direct = [0.5, 0.99].map(|part| percentile(&mut times[0], part));
-    for (number, (name, _)) in ways.iter().enumerate() {
-        let [half, most] = [0.5, 0.99].map(|part| percentile(&mut times[number], part));
+    for (number, (name, _)) in paths.iter().enumerate() {
+        let [median, p99] = [0.5, 0.99].map(|part| percentile(&mut times[number], part));
         let ratio = |time: Duration, base: Duration| time.as_secs_f64() / base.as_secs_f64();
         println!(
-            "  {name}: p50 {half:.2?} ({:.2}x), p99 {most:.2?} ({:.2}x)",
-            ratio(half, direct[0]),
-            ratio(most, direct[1])
+            "  {name}: p50 {median:.2?} ({:.2}x), p99 {p99:.2?} ({:.2}x)",
+            ratio(median, direct[0]),
+            ratio(p99, direct[1])
         );
     }
 }
 
-/// Runs `callers` closed loops for `length`. Returns requests a second and
-/// processor milliseconds for each request.
+/// Runs `callers` closed loops for `length`. Returns requests per second and CPU
+/// milliseconds per request.
 async fn closed_loops(addresses: &[SocketAddr], callers: usize, length: Duration) -> (f64, f64) {
     let done = Arc::new(AtomicU64::new(0));
     let cpu = process_usage().cpu_milliseconds;
@@ -110,7 +111,7 @@
             let mut round = 0;
             while begun.elapsed() < length {
                 let request = format!("{caller}-{round}-{address}");
-                let status = ask(&client, address, body(WARM, 1), &request, LONG).await;
+                let status = send_request(&client, address, body(WARM, 1), &request, LONG).await;
                 assert_eq!(status, 200);
                 round += 1;
                 done.fetch_add(1, Ordering::Relaxed);
@@ -118,8 +119,8 @@
         })
     });
     let loops: Vec<_> = loops.collect();
-    for one in loops {
-        one.await.expect("a loop ends");
+    for closed_loop in loops {
+        closed_loop.await.expect("join a closed loop");
     }
     let done = done.load(Ordering::Relaxed) as f64;
     let cpu = (process_usage().cpu_milliseconds - cpu) as f64;
@@ -145,10 +146,10 @@
     let requests = routed * LENGTH.as_secs_f64();
     let bytes = (after.0 - before.0) as f64 / requests;
     let messages = (after.1 - before.1) as f64 / requests;
-    println!("{CALLERS} callers in closed loops, all processes' parts in one process:");
-    println!("  direct: {direct:.0} requests/s, {direct_cpu:.3} ms of processor each");
-    println!("  routed: {routed:.0} requests/s, {routed_cpu:.3} ms of processor each");
-    println!("  a router's part: {:.3} ms each", routed_cpu - direct_cpu);
+    println!("{CALLERS} callers in closed loops, all components in one process:");
+    println!("  direct: {direct:.0} requests/s, {direct_cpu:.3} ms of CPU time each");
+    println!("  routed: {routed:.0} requests/s, {routed_cpu:.3} ms of CPU time each");
+    println!("  routing overhead: {:.3} ms each", routed_cpu - direct_cpu);
     println!("  tickets and grants: {messages:.1} messages, {bytes:.0} bytes for each request");
     println!(
         "  at 21 requests/s for each router: {:.0} bytes/s sent",
@@ -156,7 +157,7 @@
     );
 }
 
-/// Bytes and messages of tickets and grants that were sent.
+/// Bytes and number of the ticket and grant messages sent so far.
 fn ticket_traffic() -> (u64, u64) {
     let kinds = traffic().into_iter();
     let kinds = kinds.filter(|one| one.kind == "ticket" || one.kind == "grant");
@@ -165,7 +166,7 @@
     })
 }
 
-/// Requests that wait for a model that is not loaded.
+/// Measures the memory of requests that wait for a model that is not loaded.
 async fn waiting() {
     const STEP: usize = 3000;
     const STEPS: usize = 3;
@@ -200,7 +201,9 @@
 
 /// Sends a request without reading the answer.
 async fn open(address: SocketAddr) -> TcpStream {
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("connect to the router");
     let content = body(COLD, 16);
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: {address}\r\n\
@@ -211,11 +214,11 @@
     stream
         .write_all(request.as_bytes())
         .await
-        .expect("a request is sent");
+        .expect("send the request");
     stream
 }
 
-/// Open loops at parts and multiples of the capacity.
+/// Measures goodput under open loops at fractions and multiples of the capacity.
 async fn goodput() {
     const LENGTH: Duration = Duration::from_secs(6);
     const DEADLINE: Duration = Duration::from_secs(1);
@@ -242,15 +245,16 @@
         let interval = Duration::from_secs_f64(1.0 / (capacity * load));
         let count = (LENGTH.as_secs_f64() * capacity * load) as usize;
         let begun = tokio::time::Instant::now();
-        let mut asked = Vec::new();
+        let mut tasks = Vec::new();
         for number in 0..count {
             tokio::time::sleep_until(begun + interval * number as u32).await;
             let address = site.routers[number % site.routers.len()].http_address;
             let client = client.clone();
-            asked.push(tokio::spawn(async move {
+            tasks.push(tokio::spawn(async move {
                 let sent = Instant::now();
                 let name = format!("goodput-{number}");
-                let status = ask(&client, address, body(WARM, TOKENS), &name, DEADLINE).await;
+                let status =
+                    send_request(&client, address, body(WARM, TOKENS), &name, DEADLINE).await;
                 (status, sent.elapsed())
             }));
         }
@@ -258,8 +262,8 @@
         let mut refusals = Vec::new();
         let mut times = Vec::new();
         let mut others = 0;
-        for one in asked {
-            match one.await.expect("an answer") {
+        for task in tasks {
+            match task.await.expect("join a request task") {
                 (200, time) => {
                     answered += 1;
                     times.push(time);
--- a/crates/router/examples/router_bench/site.rs
+++ b/crates/router/examples/router_bench/site.rs
@@ -1,4 +1,5 @@
-//! Routers and stand-in runners on loopback sockets, fed by hand.
+//! Routers and stand-in runners on loopback sockets. The benchmark sets the views
+//! of the routers itself.
 
 use courseshunt_http::{HttpClient, full_body, read_limited};
 use courseshunt_queue::{QueueKey, owner_of};
@@ -22,7 +23,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The deployment that is warm.
+/// The deployment that is loaded on all runners.
 pub const WARM: &str = "warm";
 /// The deployment that is never loaded.
 pub const COLD: &str = "cold";
@@ -39,7 +40,7 @@
     _folder: tempfile::TempDir,
 }
 
-/// Size of a site.
+/// Numbers of processes and slots, and the timing of the engines.
 #[derive(Debug, Clone, Copy)]
 pub struct BenchSize {
     pub routers: usize,
@@ -51,9 +52,9 @@
 impl BenchSite {
     /// Starts everything; the deployment [`WARM`] is loaded on all runners.
     pub async fn start(size: BenchSize) -> Self {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("create a temporary directory");
         let key_file = folder.path().join("cluster.key");
-        std::fs::write(&key_file, "a key of sixteen bytes or more").expect("a key file");
+        std::fs::write(&key_file, "a key of sixteen bytes or more").expect("write the key file");
         let store = StoreModelSettings {
             transfer_mib_per_second: 1e6,
             starts_per_second: 100.0,
@@ -61,21 +62,21 @@
         };
         let store = StoreServer::start(ANY.into(), store)
             .await
-            .expect("a store");
+            .expect("start the store");
         let mut runners = Vec::new();
         for number in 0..size.runners {
             let mut model = RunnerModelSettings::named(&runner_name(number).0, "zone", 1000);
             model.timing = size.timing;
             model.engine_start_ms = Millis(1);
             let started = RunnerServer::start(ANY.into(), store.address, RUNNER_TOKEN, model);
-            let runner = started.await.expect("a runner");
+            let runner = started.await.expect("start a runner");
             load(runner.address, size.slots).await;
             runners.push(runner);
         }
         let mut routers = Vec::new();
         for number in 0..size.routers {
             let settings = router_settings(number, &key_file);
-            routers.push(Router::start(settings).await.expect("a router"));
+            routers.push(Router::start(settings).await.expect("start a router"));
         }
         let site = Self {
             routers,
@@ -87,7 +88,7 @@
         site
     }
 
-    /// Plays the controllers' feed.
+    /// Sets the routers' views as the controllers' feed would.
     fn feed(&self, size: BenchSize) {
         let endpoints = self.routers.iter().map(|router| RouterEndpoint {
             router: router.context().settings.id.clone(),
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The router that owns the queue of a deployment, and another.
+    /// Numbers of the router that owns the queue of a deployment and of another one.
     pub fn owner_and_other(&self, deployment: &str) -> (usize, usize) {
         let queue = QueueKey {
             deployment: deployment.into(),
@@ -140,8 +141,11 @@
         };
         let ids = self.routers.iter().map(|one| &one.context().settings.id);
         let ids: Vec<&RouterId> = ids.collect();
-        let owner = owner_of(&queue, ids.iter().copied()).expect("an owner");
-        let owner = ids.iter().position(|id| *id == owner).expect("its number");
+        let owner = owner_of(&queue, ids.iter().copied()).expect("find the owner");
+        let owner = ids
+            .iter()
+            .position(|id| *id == owner)
+            .expect("find the owner's number");
         (owner, (owner + 1) % ids.len())
     }
 }
@@ -155,14 +159,14 @@
         format!("--id=router-{number}"),
         "--http-address=127.0.0.1:0".to_owned(),
         "--wire-address=127.0.0.1:0".to_owned(),
-        // Nobody listens on the discard port.
+        // No process listens on the discard port.
         "--controllers=127.0.0.1:9".to_owned(),
         "--drain-seconds=1".to_owned(),
         "--zone=zone".to_owned(),
         "--log-level=error".to_owned(),
         format!("--cluster-key-file={}", key_file.display()),
     ];
-    RouterSettings::load(&arguments).expect("settings")
+    RouterSettings::load(&arguments).expect("load the settings")
 }
 
 fn document(name: &str, slots: u32) -> StoredDeployment {
@@ -171,7 +175,7 @@
         "memory_mib": 100, "slots_per_replica": slots, "max_replicas": 8,
         "limits": {"interactive": {"queue_length": 20_000, "deadline_ms": 600_000}},
     }))
-    .expect("a document");
+    .expect("parse the document");
     StoredDeployment {
         digest: document.digest(),
         document,
@@ -222,12 +226,12 @@
         Some(&order),
         limit,
     );
-    ordered.await.expect("the order is taken");
+    ordered.await.expect("send the order");
     loop {
         let path = "/control/inventory";
         let reply = client.call::<()>(Method::GET, &address, path, token, None, limit);
-        let reply = reply.await.expect("an inventory");
-        let inventory: Inventory = serde_json::from_slice(&reply.body).expect("an inventory");
+        let reply = reply.await.expect("read the inventory");
+        let inventory: Inventory = serde_json::from_slice(&reply.body).expect("read the inventory");
         if inventory
             .deployments
             .iter()
@@ -239,7 +243,7 @@
     }
 }
 
-/// A body of a request.
+/// Body of a chat completion request.
 pub fn body(model: &str, tokens: u32) -> String {
     let prompt = "Which vents should open before noon in hall seven?";
     serde_json::json!({
@@ -249,8 +253,8 @@
     .to_string()
 }
 
-/// Sends one request. Returns the status.
-pub async fn ask(
+/// Sends a request. Returns the HTTP status, or 0 if the exchange failed.
+pub async fn send_request(
     client: &HttpClient,
     address: SocketAddr,
     body: String,
@@ -266,7 +270,7 @@
             deadline.as_millis().to_string(),
         )
         .body(full_body(body))
-        .expect("a request");
+        .expect("build the request");
     let Ok(response) = client.send(request).await else {
         return 0;
     };
--- a/crates/router/src/attempt/answer.rs
+++ b/crates/router/src/attempt/answer.rs
@@ -1,7 +1,8 @@
-//! Reads one whole answer, fetched again from the same runner after a break.
+//! Reads a complete answer; after a failure it is fetched again from the same
+//! runner.
 
 use super::counts::Count;
-use super::events::{EventParser, EventVerdict, judge_event};
+use super::events::{EventClass, EventParser, classify_event};
 use super::machine::AttemptEvent;
 use super::outcome::{AttemptEnd, UnknownCause};
 use super::query::{RunnerQuery, fetch_execution};
@@ -17,20 +18,21 @@
 use hyper::header::CONTENT_TYPE;
 use std::time::Duration;
 
-/// Longest whole answer, in bytes.
+/// Maximum length of a complete answer, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Times that a broken answer is fetched again.
+/// Number of times that an incomplete answer is fetched again.
 const MAX_FETCHES: u32 = 3;
-/// Pause before the first fetch; each further one takes twice as long.
+/// Pause before the first fetch; doubles with each further one.
 const FETCH_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for the end of an execution that a lost router started.
+/// Timeout for the answer of an execution that a lost router started.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3600);
+/// Start of the content type of a stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Reads the whole answer of an attempt, a stream with all its events.
+/// Reads the complete answer of an attempt; for a stream, all its events.
 ///
 /// # Errors
-/// How the attempt ended, when the answer can't be had whole.
+/// How the attempt ended if the complete answer could not be received.
 pub async fn read_answer(
     open: OpenAttempt,
     response: Response<Incoming>,
@@ -72,33 +74,36 @@
     let mut response = Some(response);
     let mut fetches = 0;
     loop {
-        if let Some(whole) = response.take() {
-            let body = whole.into_body();
-            let limit = open.time_left();
-            match read_in_time(body, MAX_ANSWER_BYTES, limit, "runner").await {
-                Ok(body) => match judge_body(&body, &open.query().request) {
-                    BodyVerdict::Own => {
+        if let Some(answer) = response.take() {
+            let body = answer.into_body();
+            let timeout = open.time_left();
+            match read_in_time(body, MAX_ANSWER_BYTES, timeout, "runner").await {
+                Ok(body) => match classify_body(&body, &open.query().request) {
+                    BodyClass::Matching => {
                         open.end(AttemptEvent::Finished);
                         return Ok(body);
                     }
-                    BodyVerdict::Crossed => open.context().counts.add(Count::Mismatched),
-                    BodyVerdict::CutShort => open.context().counts.add(Count::Truncated),
+                    BodyClass::Mismatched => open.context().counts.add(Count::Mismatched),
+                    BodyClass::Truncated => open.context().counts.add(Count::Truncated),
                 },
                 Err(HttpError::TooLarge { .. }) => {
                     return Err(open.end(AttemptEvent::Failed(UnknownCause::TooLarge)));
                 }
                 Err(HttpError::TimedOut { .. }) => {
-                    let event = open.give_up().await;
+                    let event = open.cancel_after_deadline().await;
                     return Err(open.end(event));
                 }
                 Err(error) => {
-                    log::info!("attempt: {}: {error}", open.query().request);
+                    log::info!(
+                        "attempt: {}: reading the answer failed: {error}",
+                        open.query().request
+                    );
                     open.context().counts.add(Count::Truncated);
                 }
             }
         }
         if fetches == MAX_FETCHES {
-            return Err(open.end(AttemptEvent::Failed(UnknownCause::CutShort)));
+            return Err(open.end(AttemptEvent::Failed(UnknownCause::Truncated)));
         }
         response = fetch_again(&mut open, fetches).await?;
         fetches += 1;
@@ -117,38 +122,41 @@
             Ok(Some(response))
         }
         Ok(Some(_)) => Ok(None),
-        Ok(None) => Err(open.end(AttemptEvent::Failed(UnknownCause::CutShort))),
+        Ok(None) => Err(open.end(AttemptEvent::Failed(UnknownCause::Truncated))),
         Err(error) => {
-            log::info!("attempt: {}: {error}", open.query().request);
+            log::info!(
+                "attempt: {}: reading the answer failed: {error}",
+                open.query().request
+            );
             Ok(None)
         }
     }
 }
 
-/// Reads an answer that was fetched from a runner for a lost router. A stream is
-/// taken whole only with all its events.
+/// Reads an answer that was fetched from a runner for a lost router. A stream
+/// must have all its events.
 ///
 /// # Errors
-/// What is wrong with it.
+/// Why the answer is not usable.
 pub async fn read_fetched(
     context: &RouterContext,
     query: &RunnerQuery,
     response: Response<Incoming>,
 ) -> Result<StoredAnswer, String> {
     if !head_matches(context, query, &response) {
-        return Err("the answer belongs to another request".to_owned());
+        return Err("the answer does not match the request id and attempt".to_owned());
     }
     let status = response.status().as_u16();
     let content_type = content_type(&response);
     let body = response.into_body();
     let body = read_in_time(body, MAX_ANSWER_BYTES, FETCH_TIMEOUT, &query.address).await;
     let body = body.map_err(|error| error.to_string())?;
-    let whole = match content_type.starts_with(EVENT_STREAM) {
+    let complete = match content_type.starts_with(EVENT_STREAM) {
         true => is_whole_stream(&body, &query.request),
-        false => judge_body(&body, &query.request) == BodyVerdict::Own,
+        false => classify_body(&body, &query.request) == BodyClass::Matching,
     };
-    if !whole {
-        return Err("the answer is not whole".to_owned());
+    if !complete {
+        return Err("the answer is incomplete".to_owned());
     }
     Ok(StoredAnswer {
         status,
@@ -162,9 +170,9 @@
     parser.push(body);
     let mut next = 0;
     while let Some(event) = parser.next_event() {
-        match judge_event(&event, request, next) {
-            EventVerdict::Next => next += 1,
-            EventVerdict::Done => return parser.next_event().is_none(),
+        match classify_event(&event, request, next) {
+            EventClass::Next => next += 1,
+            EventClass::Done => return parser.next_event().is_none(),
             _ => return false,
         }
     }
@@ -176,22 +184,24 @@
     id: Option<String>,
 }
 
-/// Whose a whole answer is.
+/// How a received body relates to the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum BodyVerdict {
-    /// The request's own, or it names none.
-    Own,
-    /// Another request's.
-    Crossed,
-    /// It is no whole answer.
-    CutShort,
+enum BodyClass {
+    /// It carries the id of the request, or none.
+    Matching,
+    /// It carries the id of another request.
+    Mismatched,
+    /// It is not a complete JSON document.
+    Truncated,
 }
 
-fn judge_body(body: &[u8], request: &RequestId) -> BodyVerdict {
+fn classify_body(body: &[u8], request: &RequestId) -> BodyClass {
     let head: Result<AnswerHead, _> = serde_json::from_slice(body);
     match head {
-        Ok(head) if head.id.as_deref().is_none_or(|id| id == request.as_str()) => BodyVerdict::Own,
-        Ok(_) => BodyVerdict::Crossed,
-        Err(_) => BodyVerdict::CutShort,
+        Ok(head) if head.id.as_deref().is_none_or(|id| id == request.as_str()) => {
+            BodyClass::Matching
+        }
+        Ok(_) => BodyClass::Mismatched,
+        Err(_) => BodyClass::Truncated,
     }
 }
--- a/crates/router/src/attempt/budget.rs
+++ b/crates/router/src/attempt/budget.rs
@@ -1,17 +1,17 @@
-//! The retry budget: a share of the first attempts, so that retries never
-//! multiply an overload.
+//! The retry budget: retries are limited to a share of the first attempts, so
+//! that they do not amplify an overload.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Tokens that each first attempt adds.
-const DEPOSIT: f64 = 0.2;
-/// Tokens that are there at the start and that quiet times refill to.
-const RESERVE: f64 = 10.0;
-/// Tokens at the most.
-const CAPACITY: f64 = 100.0;
+/// Tokens that each first attempt adds; one token pays for one retry.
+const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.2;
+/// Tokens in a new budget.
+const INITIAL_TOKENS: f64 = 10.0;
+/// Maximum number of tokens.
+const MAX_TOKENS: f64 = 100.0;
 
-/// See the module.
+/// Token bucket for retries.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens: Mutex<f64>,
@@ -21,14 +21,15 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            tokens: Mutex::new(RESERVE),
+            tokens: Mutex::new(INITIAL_TOKENS),
             limited: AtomicBool::new(true),
         }
     }
 }
 
 impl RetryBudget {
-    /// Lets every retry pass, or no more than the budget; for comparisons.
+    /// Turns the limit on or off; without it every retry is allowed. For
+    /// benchmarks.
     pub fn set_limited(&self, limited: bool) {
         self.limited.store(limited, Ordering::Relaxed);
     }
@@ -38,12 +39,12 @@
         change(&mut tokens)
     }
 
-    /// Notes a first attempt.
+    /// Adds the tokens for a first attempt.
     pub fn deposit(&self) {
-        self.with(|tokens| *tokens = (*tokens + DEPOSIT).min(CAPACITY));
+        self.with(|tokens| *tokens = (*tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS));
     }
 
-    /// Takes a token for a retry; false when the budget is used up.
+    /// Takes a token for a retry; `false` if the budget is exhausted.
     pub fn withdraw(&self) -> bool {
         if !self.limited.load(Ordering::Relaxed) {
             return true;
@@ -57,7 +58,7 @@
         })
     }
 
-    /// Tokens that are left.
+    /// Number of tokens left.
     #[must_use]
     pub fn tokens(&self) -> f64 {
         self.with(|tokens| *tokens)
--- a/crates/router/src/attempt/counts.rs
+++ b/crates/router/src/attempt/counts.rs
@@ -1,51 +1,52 @@
-//! Counts of what attempts, claims and jobs came to.
+//! Counters of attempts, claims and jobs by result.
 
 use courseshunt_metrics::{MetricsPage, Sample};
 use courseshunt_types::{Outcome, PriorityClass};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What is counted.
+/// An event that is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Count {
-    /// An attempt after the first.
+    /// A retry after a failed attempt.
     Retry,
-    /// A retry that the budget refused.
+    /// A retry that the retry budget refused.
     RetryRefused,
-    /// An answer or event of an earlier attempt, dropped.
+    /// An answer of an earlier attempt, dropped.
     Late,
     /// An answer or event of another request, dropped.
     Mismatched,
-    /// An event that came twice, dropped.
+    /// An event that was received twice, dropped.
     Duplicate,
-    /// An answer that ended early.
+    /// An answer that ended before it was complete.
     Truncated,
-    /// An answer that went on after a break, from the same runner.
+    /// An answer that was resumed from the same runner after a failure.
     Resumed,
-    /// A running request that was ended at its runner, since its caller left.
+    /// A running request that was cancelled at its runner because its caller
+    /// disconnected.
     Cancelled,
-    /// A claim that was opened.
+    /// A claim that was granted.
     ClaimOpened,
-    /// A repeat that got the recorded answer.
+    /// A repeated request that got the recorded answer.
     ClaimRecorded,
-    /// A repeat while the first runs.
+    /// A repeated request while the first one was in progress.
     ClaimInProgress,
-    /// A repeat of a request that may have run.
+    /// A repeated request whose first attempt may have run.
     ClaimUnknown,
-    /// A key that was used with another body.
+    /// A request whose key was used before with another body.
     ClaimConflict,
-    /// A claim that could not be recorded in time and is given back.
+    /// A claim that was not committed in time and is released.
     ClaimWithdrawn,
-    /// An answer of a lost router, fetched from the runner.
+    /// An answer to a lost router's request, fetched from the runner.
     ClaimRecovered,
     /// A job that was accepted.
     JobSubmitted,
-    /// A lease that this router got.
+    /// A job lease that this router acquired.
     JobLeased,
-    /// A job that this router answered.
+    /// A job that this router completed with an answer.
     JobAnswered,
-    /// A job that this router gave back, not run.
+    /// A job that ended at this router without an answer.
     JobReturned,
-    /// A job whose lease was lost or that was cancelled while it ran here.
+    /// A job whose lease was lost, or that was cancelled, while it ran here.
     JobLost,
 }
 
@@ -74,7 +75,7 @@
 
 const OUTCOMES: [Outcome; 3] = [Outcome::Done, Outcome::NotRun, Outcome::Unknown];
 
-/// The counts of one router.
+/// The counters of one router.
 #[derive(Debug, Default)]
 pub struct AttemptCounts {
     counts: [AtomicU64; COUNTS.len()],
@@ -82,39 +83,39 @@
 }
 
 impl AttemptCounts {
-    /// Counts one.
+    /// Increments a counter.
     pub fn add(&self, count: Count) {
         self.counts[count as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The value of a count.
+    /// The value of a counter.
     #[must_use]
     pub fn get(&self, count: Count) -> u64 {
         self.counts[count as usize].load(Ordering::Relaxed)
     }
 
-    /// Counts the end of a request.
+    /// Counts a finished request by class and outcome.
     pub fn add_outcome(&self, class: PriorityClass, outcome: Outcome) {
         self.outcomes[class.rank()][outcome as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Adds the counts to a metrics page.
+    /// Adds the counters to a metrics page.
     pub fn write(&self, page: &mut MetricsPage) {
-        let parts = [
-            ("attempts", "Attempts at runners, by what happened."),
-            ("claims", "Claims of once-only requests, by what happened."),
-            ("jobs", "Deferred jobs at this router, by what happened."),
+        let families = [
+            ("attempts", "Attempts at runners by event."),
+            ("claims", "Claims of once-only requests by event."),
+            ("jobs", "Deferred jobs at this router by event."),
         ];
-        for (part, help) in parts {
-            let own = COUNTS.iter().filter(|(_, name, _)| *name == part);
-            let samples = own.map(|(count, _, event)| {
+        for (family, help) in families {
+            let members = COUNTS.iter().filter(|(_, name, _)| *name == family);
+            let samples = members.map(|(count, _, event)| {
                 Sample::labelled("event", *event, self.get(*count) as f64)
             });
-            page.counters(part, help, samples.collect::<Vec<_>>());
+            page.counters(family, help, samples.collect::<Vec<_>>());
         }
         page.counters(
             "outcomes",
-            "Ended requests by class and outcome.",
+            "Finished requests by class and outcome.",
             self.outcome_samples(),
         );
     }
--- a/crates/router/src/attempt/events.rs
+++ b/crates/router/src/attempt/events.rs
@@ -1,63 +1,62 @@
-//! Server-sent events of a runner's stream. Pure.
+//! Parses and classifies the server-sent events of a runner's stream; no I/O.
 //!
-//! Invariant: an event is passed on only when it carries this request's
-//! identity and the next position, so that a stream is passed on whole, in
-//! order and once.
+//! Invariant: an event is forwarded only if it carries this request's id and the
+//! next position, so that the caller receives each event once and in order.
 
 use bytes::{Bytes, BytesMut};
 use courseshunt_types::RequestId;
 use std::borrow::Cow;
 
-/// End of an event.
+/// Bytes that end an event.
 const SEPARATOR: &[u8] = b"\n\n";
-/// The last event of a whole stream.
+/// Data of the last event of a complete stream.
 const DONE: &[u8] = b"[DONE]";
-/// Longest event, in bytes.
+/// Maximum length of an event, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Cuts a byte stream into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventParser {
     buffer: BytesMut,
 }
 
 impl EventParser {
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn push(&mut self, data: &[u8]) {
         self.buffer.extend_from_slice(data);
     }
 
-    /// The next whole event, with its separator.
+    /// Removes and returns the next complete event, with its separator.
     pub fn next_event(&mut self) -> Option<Bytes> {
         let windows = self.buffer.windows(SEPARATOR.len());
         let end = windows.into_iter().position(|one| one == SEPARATOR)?;
         Some(self.buffer.split_to(end + SEPARATOR.len()).freeze())
     }
 
-    /// Whether more bytes wait for the end of their event than may.
+    /// Whether the buffered bytes exceed [`MAX_EVENT_BYTES`].
     #[must_use]
     pub fn is_too_long(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// Forgets a half event after a break.
+    /// Discards an incomplete event after a lost connection.
     pub fn clear(&mut self) {
         self.buffer.clear();
     }
 }
 
-/// What to do with an event.
+/// How an event relates to the request and to the expected position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EventVerdict {
-    /// The next one of this request: pass it on.
+pub enum EventClass {
+    /// The expected event of this request: forward it.
     Next,
-    /// The end of a whole stream: pass it on.
+    /// The end of a complete stream: forward it.
     Done,
-    /// It came before: drop it.
-    Doubled,
-    /// It belongs to another request, or can't be read: drop it.
-    Crossed,
-    /// Events before it are missing: resume.
+    /// An event that was received before: drop it.
+    Duplicate,
+    /// An event of another request, or an unreadable one: drop it.
+    Mismatched,
+    /// Events before it are missing: resume the stream.
     Gap,
 }
 
@@ -68,25 +67,25 @@
     position: u32,
 }
 
-/// Judges an event of `request` when the token at `next` is due.
+/// Classifies an event in a stream of `request` when position `next` is expected.
 #[must_use]
-pub fn judge_event(event: &[u8], request: &RequestId, next: u32) -> EventVerdict {
+pub fn classify_event(event: &[u8], request: &RequestId, next: u32) -> EventClass {
     let Some(data) = event.strip_prefix(b"data: ") else {
-        return EventVerdict::Crossed;
+        return EventClass::Mismatched;
     };
     let data = data.trim_ascii_end();
     if data == DONE {
-        return EventVerdict::Done;
+        return EventClass::Done;
     }
     let Ok(chunk) = serde_json::from_slice::<Chunk>(data) else {
-        return EventVerdict::Crossed;
+        return EventClass::Mismatched;
     };
     if chunk.id != request.as_str() {
-        return EventVerdict::Crossed;
+        return EventClass::Mismatched;
     }
     match chunk.position.cmp(&next) {
-        std::cmp::Ordering::Equal => EventVerdict::Next,
-        std::cmp::Ordering::Less => EventVerdict::Doubled,
-        std::cmp::Ordering::Greater => EventVerdict::Gap,
+        std::cmp::Ordering::Equal => EventClass::Next,
+        std::cmp::Ordering::Less => EventClass::Duplicate,
+        std::cmp::Ordering::Greater => EventClass::Gap,
     }
 }
--- a/crates/router/src/attempt/execution.rs
+++ b/crates/router/src/attempt/execution.rs
@@ -1,8 +1,8 @@
-//! A request's attempts, one after the other.
+//! Runs the attempts of a request, one after the other.
 //!
-//! Invariant: a refusal says not-run only when every attempt is proved not to
-//! have run; another attempt follows one that may have run only when the work
-//! may be repeated.
+//! Invariant: a refusal has the outcome not-run only if every attempt is proved
+//! not to have run. An attempt that may have run is followed by another one only
+//! if the work is repeatable.
 
 use super::counts::Count;
 use super::outcome::{AttemptEnd, NotRunCause, UnknownCause};
@@ -18,47 +18,48 @@
 use hyper::Response;
 use hyper::body::Incoming;
 
-/// Attempts at the most that cost runners work.
+/// Maximum number of attempts that may have cost a runner work.
 const MAX_ATTEMPTS: u32 = 3;
-/// Refusals before admission at the most, such as of draining runners.
+/// Maximum number of refusals before admission, such as by draining runners.
 const MAX_REFUSALS: u32 = 16;
-/// When to come back after the attempts are used up.
+/// Retry delay sent to the caller when all attempts have failed.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// What is to be run.
+/// A request to execute at a runner.
 #[derive(Debug, Clone)]
 pub struct Work {
-    /// Identity.
+    /// Id of the request.
     pub request: RequestId,
-    /// The tenant.
+    /// Tenant of the caller.
     pub tenant: TenantName,
-    /// The deployment.
+    /// Deployment that serves the request.
     pub deployment: DeploymentName,
-    /// The adapter, if one is named.
+    /// Adapter, if the request names one.
     pub adapter: Option<AdapterName>,
-    /// Class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// When it arrived.
+    /// Time of arrival at this router.
     pub arrived: Timestamp,
-    /// Time waited elsewhere before the arrival.
+    /// Time that the request waited elsewhere before its arrival here.
     pub waited_before: Millis,
-    /// To be answered by then.
+    /// Deadline: a complete answer, or the first event of a stream, must be
+    /// there by then.
     pub deadline: Timestamp,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Tokens to generate at the most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Path at the runner.
+    /// Path of the request at the runner.
     pub path: String,
-    /// The body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
-/// See the module.
+/// State of the attempts of one request.
 #[derive(Debug)]
 pub struct Execution<'a> {
     context: &'a RouterContext,
@@ -72,7 +73,7 @@
 }
 
 impl<'a> Execution<'a> {
-    /// An execution without attempts so far.
+    /// Creates an execution without attempts; pays its share into the retry budget.
     #[must_use]
     pub fn new(context: &'a RouterContext, work: &'a Work) -> Self {
         context.retry_budget.deposit();
@@ -94,74 +95,75 @@
         Attempt(u64::from(self.attempts + self.refusals) + 1)
     }
 
-    /// Attempts so far.
+    /// Number of attempts so far, including refused ones.
     #[must_use]
     pub fn attempts(&self) -> u32 {
         self.attempts + self.refusals
     }
 
-    /// The runner of the last grant.
+    /// Runner of the last grant.
     #[must_use]
     pub fn last_runner(&self) -> Option<&RunnerId> {
         self.last_runner.as_ref()
     }
 
-    /// When the last grant came.
+    /// Time of the last grant.
     #[must_use]
     pub fn granted_at(&self) -> Option<Timestamp> {
         self.granted_at
     }
 
-    /// Waits for a grant.
+    /// Waits for a grant, which reserves a slot at a runner.
     ///
     /// # Errors
     /// The refusal for the caller.
     pub async fn grant(&mut self) -> Result<GrantedRequest, Refusal> {
         let acquired = self.context.dispatcher.acquire(self.ticket()).await;
-        let granted = acquired.map_err(|refusal| self.truthful(refusal))?;
+        let granted = acquired.map_err(|refusal| self.with_known_outcome(refusal))?;
         self.last_runner = Some(granted.grant.runner.clone());
         let now = self.context.clock.now();
         self.granted_at = Some(now);
-        if now + self.expected() >= self.work.deadline {
+        if now + self.expected_time() >= self.work.deadline {
             let message = "the deadline would pass before the answer is there";
             let refusal = Refusal::not_run(RefusalReason::DeadlineExceeded, message);
             let refusal = refusal.with_retry_after(RETRY_AFTER);
-            return Err(self.truthful(refusal));
+            return Err(self.with_known_outcome(refusal));
         }
         Ok(granted)
     }
 
-    /// Expected time until the part of the answer that the deadline is for.
-    fn expected(&self) -> Millis {
+    /// Expected time until the complete answer, or the first event of a stream.
+    fn expected_time(&self) -> Millis {
         let work = self.work;
         let times = &self.context.service_times;
         times.expected(&work.deployment, work.max_tokens, work.stream)
     }
 
-    /// Learns from a whole answer, or from a stream's first event.
-    pub fn answered(&self) {
+    /// Updates the service time estimate after a complete answer, or after the
+    /// first event of a stream.
+    pub fn record_service_time(&self) {
         let Some(granted_at) = self.granted_at else {
             return;
         };
         let (work, times) = (self.work, &self.context.service_times);
-        let taken = self.context.clock.now().since(granted_at);
+        let elapsed = self.context.clock.now().since(granted_at);
         match work.stream {
-            true => times.learn_first(&work.deployment, taken),
-            false => times.learn(&work.deployment, work.max_tokens, taken),
+            true => times.observe_first_event(&work.deployment, elapsed),
+            false => times.observe_answer(&work.deployment, work.max_tokens, elapsed),
         }
     }
 
-    /// The refusal of work that waits while the router stops.
+    /// Refusal for work that is queued when the router stops.
     #[must_use]
-    pub fn stopped(&self) -> Refusal {
+    pub fn stopping_refusal(&self) -> Refusal {
         let message = "the router is stopping";
-        self.truthful(Refusal::not_run(RefusalReason::ShuttingDown, message))
+        self.with_known_outcome(Refusal::not_run(RefusalReason::ShuttingDown, message))
     }
 
     fn ticket(&self) -> Ticket {
         let now = self.context.clock.now();
         let work = self.work;
-        let here = now.since(work.arrived);
+        let waited_here = now.since(work.arrived);
         Ticket {
             request: work.request.clone(),
             holder: self.context.settings.id.clone(),
@@ -170,7 +172,7 @@
             tenant: work.tenant.clone(),
             class: work.class,
             deadline_in: work.deadline.since(now),
-            waited: Millis(work.waited_before.0 + here.0),
+            waited: Millis(work.waited_before.0 + waited_here.0),
             prefix_hashes: Vec::new(),
             prompt_tokens: work.prompt_tokens,
             max_tokens: work.max_tokens,
@@ -178,18 +180,18 @@
         }
     }
 
-    /// A refusal with the truth about all attempts so far.
-    fn truthful(&self, mut refusal: Refusal) -> Refusal {
+    /// Sets the outcome of a refusal to unknown if an attempt may have run.
+    fn with_known_outcome(&self, mut refusal: Refusal) -> Refusal {
         if self.may_have_run {
             refusal.outcome = Outcome::Unknown;
         }
         refusal
     }
 
-    /// Makes one attempt.
+    /// Sends the request to the granted runner.
     ///
     /// # Errors
-    /// How it ended without an answer.
+    /// How the attempt ended if it got no answer.
     pub async fn attempt(
         &self,
         granted: GrantedRequest,
@@ -205,11 +207,11 @@
         OpenAttempt::send(self.context, granted, request).await
     }
 
-    /// Notes how an attempt ended; `Ok` when another may follow.
+    /// Records the end of an attempt; `Ok` if another attempt may follow.
     ///
     /// # Errors
     /// The refusal for the caller.
-    pub fn after(&mut self, end: AttemptEnd) -> Result<(), Refusal> {
+    pub fn handle_end(&mut self, end: AttemptEnd) -> Result<(), Refusal> {
         log::info!(
             "attempt: {} on {} ended: {}",
             self.work.request,
@@ -222,7 +224,7 @@
             AttemptEnd::NotRun(NotRunCause::Invalid) => {
                 let message = "the runner can't read the request";
                 let refusal = Refusal::not_run(RefusalReason::InvalidRequest, message);
-                Err(self.truthful(refusal))
+                Err(self.with_known_outcome(refusal))
             }
             AttemptEnd::NotRun(cause) if cause.is_ordinary() => self.after_refusal(cause),
             AttemptEnd::Unknown(UnknownCause::TooLarge) => {
@@ -262,6 +264,7 @@
     fn failed(&self, end: AttemptEnd) -> Refusal {
         let message = format!("the runner failed: {}", end.as_str());
         let refusal = Refusal::not_run(RefusalReason::RunnerFailed, message);
-        self.truthful(refusal).with_retry_after(RETRY_AFTER)
+        self.with_known_outcome(refusal)
+            .with_retry_after(RETRY_AFTER)
     }
 }
--- a/crates/router/src/attempt/machine.rs
+++ b/crates/router/src/attempt/machine.rs
@@ -1,48 +1,48 @@
-//! The stages of one attempt, as a pure state machine.
+//! State machine of one attempt; does no I/O.
 //!
-//! Invariant: once the first byte may have left, no event but the client's
-//! proof that no connection existed, or the runner's own word, leads back to
-//! not-run; the first outcome counts.
+//! Invariant: once the first byte may have been sent, an attempt counts as not
+//! run only if the HTTP client reports that no connection existed or the runner
+//! reports that it did not start the request. The first outcome is final.
 
 use super::outcome::{AttemptEnd, NotRunCause, UnknownCause};
 
-/// How far an attempt has come; it only moves forward.
+/// Progress of an attempt; the stage never goes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptStage {
-    /// Nothing was sent.
+    /// A slot is granted and nothing has been sent.
     Granted,
-    /// The first byte may have left.
+    /// The first byte may have been sent.
     Sent,
-    /// A matching answer has begun.
+    /// The head of a matching answer has been received.
     Answering,
-    /// The outcome is settled.
+    /// The outcome is final.
     Ended,
 }
 
-/// What happens to an attempt.
+/// Input of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEvent {
-    /// The request is handed to the HTTP client.
+    /// The request is passed to the HTTP client.
     Sending,
-    /// No connection existed, so that no byte left.
+    /// No connection existed, so no byte was sent.
     ConnectFailed,
-    /// The runner is not known.
+    /// The runner's address is unknown.
     RunnerUnknown,
-    /// The runner refused and says that the request did not start.
+    /// The runner refused the request and reports that it did not start.
     Refused(NotRunCause),
-    /// The runner says that it never started it, and never will.
+    /// The runner reports that it has not started the request and never will.
     Fenced,
-    /// The head of a matching answer came.
+    /// The head of a matching answer was received.
     HeadMatched,
-    /// Something ended the attempt without the runner's word.
+    /// The attempt failed without a report of the runner on whether it ran.
     Failed(UnknownCause),
-    /// The whole answer came.
+    /// The complete answer was received.
     Finished,
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
 }
 
-/// One attempt.
+/// State of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptMachine {
     stage: AttemptStage,
@@ -59,14 +59,14 @@
 }
 
 impl AttemptMachine {
-    /// The present stage.
+    /// The current stage.
     #[must_use]
     pub fn stage(&self) -> AttemptStage {
         self.stage
     }
 
-    /// The outcome; an attempt that has not ended may have run as soon as its
-    /// first byte may have left.
+    /// The outcome so far. An attempt that has not ended may have run as soon as
+    /// its first byte may have been sent.
     #[must_use]
     pub fn outcome(&self) -> AttemptEnd {
         let open = match self.stage {
@@ -76,7 +76,7 @@
         self.outcome.unwrap_or(open)
     }
 
-    /// Takes an event in; returns the outcome when this event settled it.
+    /// Applies an event. Returns the outcome if this event ended the attempt.
     pub fn step(&mut self, event: AttemptEvent) -> Option<AttemptEnd> {
         if self.stage == AttemptStage::Ended {
             return None;
--- a/crates/router/src/attempt/mod.rs
+++ b/crates/router/src/attempt/mod.rs
@@ -1,8 +1,8 @@
-//! One attempt at a runner, and what may follow it.
+//! Attempts to execute a request at a runner, and retries.
 //!
-//! Invariant: an attempt is called not-run only while no byte of it can have
-//! reached a runner, or when the runner itself says that it did not start. An
-//! answer is taken only when its request identity and attempt match.
+//! Invariant: an attempt counts as not run only if no byte of it can have
+//! reached a runner, or if the runner itself reports that it did not start. An
+//! answer is accepted only if its request id and attempt number match.
 
 mod answer;
 mod budget;
@@ -19,7 +19,7 @@
 pub use answer::{MAX_ANSWER_BYTES, read_answer, read_fetched};
 pub use budget::RetryBudget;
 pub use counts::{AttemptCounts, Count};
-pub use events::{EventParser, EventVerdict, judge_event};
+pub use events::{EventClass, EventParser, classify_event};
 pub use execution::{Execution, Work};
 pub use machine::{AttemptEvent, AttemptMachine, AttemptStage};
 pub use outcome::{AttemptEnd, AttemptTimes, NotRunCause, UnknownCause};
--- a/crates/router/src/attempt/outcome.rs
+++ b/crates/router/src/attempt/outcome.rs
@@ -1,47 +1,47 @@
-//! What is known about an attempt after its end.
+//! Outcomes of attempts, with their causes.
 
 use courseshunt_queue::{AdmissionFailure, AttemptOutcome};
 use courseshunt_types::{Millis, Outcome};
 
-/// Why an attempt is proved not to have run.
+/// Proof that an attempt has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunCause {
-    /// The runner is not known here any more.
+    /// The runner has been removed from the placement.
     RunnerUnknown,
-    /// No connection could be made, or it closed before the first byte.
+    /// No connection was established, or it closed before the first byte was sent.
     ConnectFailed,
-    /// The runner refused before admission: it drains.
+    /// The runner refused before admission: it is draining.
     Draining,
     /// The runner refused before admission: the deployment is not loaded.
     NotLoaded,
     /// The runner refused before admission: its own queue is full.
     Full,
-    /// The runner refused before admission, and asks to be left alone for so long.
-    Resting(Millis),
+    /// The runner refused before admission and requested a backoff of this length.
+    InBackoff(Millis),
     /// The runner refused before admission for another reason.
     Refused,
-    /// The runner refused before admission: it can't read the request.
+    /// The runner refused before admission: the request is invalid.
     Invalid,
-    /// The runner says that it never started it, and never will.
+    /// The runner reports that it has not started the request and never will.
     Fenced,
 }
 
-/// Why it is not known whether an attempt ran.
+/// Why it is unknown whether an attempt has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnknownCause {
-    /// The connection broke before the head of the answer.
+    /// The connection failed before the head of the answer was received.
     Broken,
-    /// The runner answered with an error and did not say whether it started.
+    /// The runner returned an error that does not state whether the request started.
     RunnerError,
     /// The answer belongs to another request or attempt.
-    Crossed,
-    /// The answer ended early and could not be resumed.
-    CutShort,
-    /// The runner gave no sign of life.
-    Silent,
-    /// The deadline passed while it ran.
+    Mismatched,
+    /// The answer ended before it was complete and could not be resumed.
+    Truncated,
+    /// The runner did not respond.
+    Unresponsive,
+    /// The deadline passed during the attempt.
     DeadlinePassed,
-    /// The answer is longer than the limit.
+    /// The answer exceeds the size limit.
     TooLarge,
 }
 
@@ -52,9 +52,9 @@
     NotRun(NotRunCause),
     /// It may have run.
     Unknown(UnknownCause),
-    /// The whole answer came.
+    /// The complete answer was received.
     Done,
-    /// The caller left; the runner was told to stop.
+    /// The caller disconnected; the execution is cancelled at the runner.
     Cancelled,
 }
 
@@ -68,14 +68,14 @@
             Self::Draining => "draining",
             Self::NotLoaded => "not_loaded",
             Self::Full => "full",
-            Self::Resting(_) => "resting",
+            Self::InBackoff(_) => "resting",
             Self::Refused => "refused",
             Self::Invalid => "invalid",
             Self::Fenced => "fenced",
         }
     }
 
-    /// Reads the code of a runner's refusal.
+    /// The cause for the error code in a runner's refusal.
     #[must_use]
     pub fn of_refusal(code: &str) -> Self {
         match code {
@@ -91,7 +91,9 @@
             Self::RunnerUnknown | Self::Invalid => AttemptOutcome::Unused,
             Self::Draining => AttemptOutcome::NotAdmitted(AdmissionFailure::Draining),
             Self::NotLoaded => AttemptOutcome::NotAdmitted(AdmissionFailure::NotLoaded),
-            Self::Resting(rest) => AttemptOutcome::NotAdmitted(AdmissionFailure::Resting(rest)),
+            Self::InBackoff(backoff) => {
+                AttemptOutcome::NotAdmitted(AdmissionFailure::Resting(backoff))
+            }
             Self::Full | Self::Refused => AttemptOutcome::NotAdmitted(AdmissionFailure::Busy),
             Self::ConnectFailed | Self::Fenced => {
                 AttemptOutcome::NotAdmitted(AdmissionFailure::Unreachable)
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Whether the refusal is part of ordinary operation, so that another
-    /// attempt takes nothing from the retry budget.
+    /// Whether the refusal is part of normal operation, so that the next attempt
+    /// takes no token from the retry budget.
     #[must_use]
     pub fn is_ordinary(self) -> bool {
         matches!(self, Self::RunnerUnknown | Self::Draining | Self::NotLoaded)
@@ -114,9 +116,9 @@
         match self {
             Self::Broken => "broken",
             Self::RunnerError => "runner_error",
-            Self::Crossed => "crossed",
-            Self::CutShort => "cut_short",
-            Self::Silent => "silent",
+            Self::Mismatched => "crossed",
+            Self::Truncated => "cut_short",
+            Self::Unresponsive => "silent",
             Self::DeadlinePassed => "deadline_passed",
             Self::TooLarge => "too_large",
         }
@@ -135,7 +137,7 @@
         }
     }
 
-    /// What a caller is told.
+    /// The outcome that is reported to the caller.
     #[must_use]
     pub fn outcome(self) -> Outcome {
         match self {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// What the queue's owner is told about the runner.
+    /// The report about the runner to the owner of the queue.
     #[must_use]
     pub fn report(self, times: AttemptTimes) -> AttemptOutcome {
         match self {
@@ -163,11 +165,11 @@
     }
 }
 
-/// Times of an attempt, from the sending on.
+/// Durations of an attempt, measured from the start of the send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct AttemptTimes {
-    /// Until the first byte of the answer.
+    /// Time until the head of the answer.
     pub first_byte: Millis,
-    /// Until the end.
+    /// Time until the end of the attempt.
     pub total: Millis,
 }
--- a/crates/router/src/attempt/query.rs
+++ b/crates/router/src/attempt/query.rs
@@ -1,5 +1,5 @@
-//! Questions to a runner about one execution: its status, its answer again,
-//! its end.
+//! Requests to a runner about one execution: query its status, fetch its answer
+//! again, cancel it.
 
 use courseshunt_http::{HttpClient, HttpError, empty_body};
 use courseshunt_types::runner_api::{ExecutionPhase, ExecutionStatus, execution_path};
@@ -8,7 +8,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use std::time::Duration;
 
-/// Longest wait for the answer to a question.
+/// Timeout of a status query or a cancellation.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One execution at one runner.
@@ -16,27 +16,30 @@
 pub struct RunnerQuery {
     /// `ip:port` of the runner.
     pub address: String,
-    /// Its incarnation before the request was sent, if known.
+    /// Incarnation of the runner before the request was sent; `None` if it is
+    /// unknown.
     pub incarnation: Option<Incarnation>,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: Attempt,
 }
 
-/// The phase of an execution; `None` when the runner gives no answer, or when
-/// another process than the one that got the request says "not started".
+/// The phase of an execution. `None` if the runner does not answer, or if it
+/// reports "not started" under another incarnation than the one that got the
+/// request.
 pub async fn execution_status(client: &HttpClient, query: &RunnerQuery) -> Option<ExecutionPhase> {
-    ask(client, query, Method::GET, "/status").await
+    query_runner(client, query, Method::GET, "/status").await
 }
 
-/// Ends an execution; `None` when the runner gives no answer. An execution of
-/// which it says "not started" will never start.
+/// Cancels an execution; `None` if the runner does not answer. An execution that
+/// the runner reports as "not started" will never start.
 pub async fn cancel_execution(client: &HttpClient, query: &RunnerQuery) -> Option<ExecutionPhase> {
-    ask(client, query, Method::DELETE, "").await
+    query_runner(client, query, Method::DELETE, "").await
 }
 
-/// The phase of an execution, which is fenced if it has not started.
+/// The phase of an execution; one that has not started is cancelled, so that it
+/// never starts.
 pub async fn cancel_unless_started(
     client: &HttpClient,
     query: &RunnerQuery,
@@ -47,7 +50,7 @@
     }
 }
 
-async fn ask(
+async fn query_runner(
     client: &HttpClient,
     query: &RunnerQuery,
     method: Method,
@@ -60,15 +63,15 @@
         return None;
     }
     let status: ExecutionStatus = serde_json::from_slice(&reply.body).ok()?;
-    let same = query.incarnation == Some(status.incarnation);
-    (same || status.phase != ExecutionPhase::NotStarted).then_some(status.phase)
+    let same_incarnation = query.incarnation == Some(status.incarnation);
+    (same_incarnation || status.phase != ExecutionPhase::NotStarted).then_some(status.phase)
 }
 
-/// Asks for the answer again, a stream from token `from` on. `Ok(None)` when
-/// the runner knows nothing of the execution.
+/// Fetches the answer of an execution again, a stream from position `from` on.
+/// `Ok(None)` if the runner has no record of the execution.
 ///
 /// # Errors
-/// When the runner can't be reached or answers something else.
+/// When the runner can't be reached or returns another status.
 pub async fn fetch_execution(
     client: &HttpClient,
     query: &RunnerQuery,
@@ -76,17 +79,17 @@
 ) -> Result<Option<Response<Incoming>>, HttpError> {
     let path = execution_path(&query.request, query.attempt);
     let uri = format!("http://{}{path}?from={from}", query.address);
-    let broken = |problem: String| HttpError::Broken {
+    let fetch_error = |problem: String| HttpError::Broken {
         step: "fetch an execution",
         peer: query.address.clone(),
         problem,
     };
     let request = Request::get(uri).body(empty_body());
-    let request = request.map_err(|error| broken(error.to_string()))?;
+    let request = request.map_err(|error| fetch_error(error.to_string()))?;
     let response = client.send(request).await?;
     match response.status() {
         StatusCode::OK => Ok(Some(response)),
         StatusCode::NOT_FOUND => Ok(None),
-        status => Err(broken(format!("answered {status}"))),
+        status => Err(fetch_error(format!("answered {status}"))),
     }
 }
--- a/crates/router/src/attempt/send.rs
+++ b/crates/router/src/attempt/send.rs
@@ -1,4 +1,4 @@
-//! Sends one granted request to its runner, up to the head of the answer.
+//! Sends a granted request to its runner and waits for the head of the answer.
 
 use super::counts::Count;
 use super::machine::{AttemptEvent, AttemptMachine};
@@ -19,32 +19,32 @@
 use hyper::{Request, Response, StatusCode};
 use std::time::{Duration, SystemTime};
 
-/// Time without a sign of life after which the runner is asked for the status.
-const SILENCE: Duration = Duration::from_secs(5);
-/// Longest body of a refusal, in bytes.
+/// Time without an answer after which the runner is queried for the status.
+const SILENCE_LIMIT: Duration = Duration::from_secs(5);
+/// Maximum length of a refusal's body, in bytes.
 const MAX_REFUSAL_BYTES: usize = 64 * 1024;
-/// Longest wait for the body of a refusal.
+/// Timeout for the body of a refusal.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One request as sent to a runner.
+/// A request as sent to a runner.
 #[derive(Debug, Clone)]
 pub struct RunnerRequest {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// Class, for the engine's own queue.
+    /// Priority class, for the queue of the engine.
     pub class: PriorityClass,
-    /// Path at the runner.
+    /// Path of the request at the runner.
     pub path: String,
     /// The body, as the caller sent it.
     pub body: Bytes,
-    /// Give up at this moment; `None` for a request that must not be ended.
+    /// The attempt is cancelled at this time; `None` if it must not be cancelled.
     pub deadline: Option<Timestamp>,
 }
 
-/// An attempt that was sent. Dropped before its end, it ends the execution at
-/// the runner: the caller has left.
+/// An attempt that has been sent. When it is dropped before its end, which means
+/// that the caller disconnected, the execution is cancelled at the runner.
 #[derive(Debug)]
 pub struct OpenAttempt {
     context: RouterContext,
@@ -60,7 +60,7 @@
     /// Sends a request and waits for the head of the answer.
     ///
     /// # Errors
-    /// How the attempt ended without an answer.
+    /// How the attempt ended if it got no answer.
     pub async fn send(
         context: &RouterContext,
         mut granted: GrantedRequest,
@@ -89,37 +89,37 @@
             sent_at: context.clock.now(),
             times: AttemptTimes::default(),
         };
-        match open.head(request).await {
+        match open.receive_head(request).await {
             Ok(response) => Ok((open, response)),
             Err(event) => Err(open.end(event)),
         }
     }
 
-    /// The router's parts.
+    /// Shared state of the router.
     #[must_use]
     pub fn context(&self) -> &RouterContext {
         &self.context
     }
 
-    /// The execution at the runner.
+    /// Identifies the execution at the runner.
     #[must_use]
     pub fn query(&self) -> &RunnerQuery {
         &self.query
     }
 
-    /// Time left until the deadline; a long time when there is none.
+    /// Time left until the deadline; 24 hours if there is none.
     #[must_use]
     pub fn time_left(&self) -> Duration {
         let now = self.context.clock.now();
-        let left = self.deadline.map(|deadline| deadline.since(now));
-        left.map_or(Duration::from_secs(24 * 3600), Into::into)
+        let remaining = self.deadline.map(|deadline| deadline.since(now));
+        remaining.map_or(Duration::from_secs(24 * 3600), Into::into)
     }
 
-    /// Settles the attempt and gives the slot back.
+    /// Ends the attempt and reports its outcome with the slot's return.
     pub fn end(&mut self, event: AttemptEvent) -> AttemptEnd {
-        let settled = self.machine.step(event).is_some();
+        let ended = self.machine.step(event).is_some();
         let end = self.machine.outcome();
-        if settled {
+        if ended {
             self.times.total = self.context.clock.now().since(self.sent_at);
             self.granted.report(end.report(self.times));
             log::debug!(
@@ -133,23 +133,27 @@
         end
     }
 
-    /// Ends the execution at the runner after the deadline.
-    pub async fn give_up(&mut self) -> AttemptEvent {
+    /// Cancels the execution at the runner after the deadline. Returns the event
+    /// that ends the attempt.
+    pub async fn cancel_after_deadline(&mut self) -> AttemptEvent {
         match cancel_execution(&self.context.client, &self.query).await {
             Some(ExecutionPhase::NotStarted) => AttemptEvent::Fenced,
             _ => AttemptEvent::Failed(UnknownCause::DeadlinePassed),
         }
     }
 
-    async fn head(&mut self, request: RunnerRequest) -> Result<Response<Incoming>, AttemptEvent> {
-        let answered = match self.exchange(request).await {
-            Ok(response) => self.judge(response).await,
+    async fn receive_head(
+        &mut self,
+        request: RunnerRequest,
+    ) -> Result<Response<Incoming>, AttemptEvent> {
+        let result = match self.exchange(request).await {
+            Ok(response) => self.validate_head(response).await,
             Err(event) => Err(event),
         };
-        let response = match answered {
+        let response = match result {
             Ok(response) => response,
             Err(AttemptEvent::Failed(cause)) if cause != UnknownCause::DeadlinePassed => {
-                self.clarify(cause).await?
+                self.resolve_unknown(cause).await?
             }
             Err(event) => return Err(event),
         };
@@ -158,9 +162,13 @@
         Ok(response)
     }
 
-    /// Asks the runner what became of an attempt without a usable answer: the
-    /// answer is fetched if it runs there; if it never started, it never will.
-    async fn clarify(&mut self, cause: UnknownCause) -> Result<Response<Incoming>, AttemptEvent> {
+    /// Queries the runner about an attempt without a usable answer. The answer is
+    /// fetched if the execution is running or finished; an execution that has not
+    /// started is cancelled, so that it never starts.
+    async fn resolve_unknown(
+        &mut self,
+        cause: UnknownCause,
+    ) -> Result<Response<Incoming>, AttemptEvent> {
         let failed = AttemptEvent::Failed(cause);
         let client = self.context.client.clone();
         match cancel_unless_started(&client, &self.query).await {
@@ -195,39 +203,43 @@
         let mut exchange = std::pin::pin!(client.send(built));
         let mut unanswered = false;
         loop {
-            let patience = SILENCE.min(self.time_left());
-            let sent = tokio::time::timeout(patience, exchange.as_mut()).await;
+            let wait_limit = SILENCE_LIMIT.min(self.time_left());
+            let sent = tokio::time::timeout(wait_limit, exchange.as_mut()).await;
             match sent {
                 Ok(Ok(response)) => return Ok(response),
-                Ok(Err(error)) => return Err(self.broken(&error)),
-                Err(_) if self.time_left().is_zero() => return Err(self.give_up().await),
-                Err(_) => unanswered = self.probe(unanswered).await?,
+                Ok(Err(error)) => return Err(self.transport_failure(&error)),
+                Err(_) if self.time_left().is_zero() => {
+                    return Err(self.cancel_after_deadline().await);
+                }
+                Err(_) => unanswered = self.query_status(unanswered).await?,
             }
         }
     }
 
-    fn broken(&self, error: &HttpError) -> AttemptEvent {
-        log::info!("attempt: {}: {error}", self.query.request);
+    fn transport_failure(&self, error: &HttpError) -> AttemptEvent {
+        log::info!("attempt: {}: send failed: {error}", self.query.request);
         match error {
             HttpError::Connect { .. } => AttemptEvent::ConnectFailed,
             _ => AttemptEvent::Failed(UnknownCause::Broken),
         }
     }
 
-    /// Asks a silent runner for the execution; returns whether it left this
-    /// question unanswered.
-    async fn probe(&mut self, unanswered: bool) -> Result<bool, AttemptEvent> {
+    /// Queries an unresponsive runner for the status of the execution. Returns
+    /// whether this query was left unanswered; two in a row end the attempt.
+    async fn query_status(&mut self, unanswered: bool) -> Result<bool, AttemptEvent> {
         let client = &self.context.client;
         match execution_status(client, &self.query).await {
             Some(ExecutionPhase::Running | ExecutionPhase::Finished) => Ok(false),
             Some(ExecutionPhase::Cancelled) => Err(AttemptEvent::Failed(UnknownCause::Broken)),
-            Some(ExecutionPhase::NotStarted) => Err(AttemptEvent::Failed(UnknownCause::Silent)),
-            None if unanswered => Err(AttemptEvent::Failed(UnknownCause::Silent)),
+            Some(ExecutionPhase::NotStarted) => {
+                Err(AttemptEvent::Failed(UnknownCause::Unresponsive))
+            }
+            None if unanswered => Err(AttemptEvent::Failed(UnknownCause::Unresponsive)),
             None => Ok(true),
         }
     }
 
-    async fn judge(
+    async fn validate_head(
         &mut self,
         response: Response<Incoming>,
     ) -> Result<Response<Incoming>, AttemptEvent> {
@@ -235,11 +247,11 @@
             return Err(AttemptEvent::Refused(refusal_cause(response).await));
         }
         if !self.matches(&response) {
-            return Err(AttemptEvent::Failed(UnknownCause::Crossed));
+            return Err(AttemptEvent::Failed(UnknownCause::Mismatched));
         }
         if !response.status().is_success() {
             log::info!(
-                "attempt: {}: the runner answered {}",
+                "attempt: {}: the runner returned status {}",
                 self.query.request,
                 response.status()
             );
@@ -248,14 +260,15 @@
         Ok(response)
     }
 
-    /// Whether an answer carries this request and attempt; counts it if not.
+    /// Whether an answer carries this request id and attempt; counts a mismatch.
     #[must_use]
     pub fn matches(&self, response: &Response<Incoming>) -> bool {
         head_matches(&self.context, &self.query, response)
     }
 }
 
-/// Whether an answer carries a request and attempt; counts it if not.
+/// Whether an answer carries the request id and attempt of `query`; counts a
+/// mismatch.
 pub fn head_matches(
     context: &RouterContext,
     query: &RunnerQuery,
@@ -284,15 +297,18 @@
         let (client, query) = (self.context.client.clone(), self.query.clone());
         self.context.tasks.spawn(async move {
             let phase = cancel_execution(&client, &query).await;
-            log::debug!("attempt: {} cancelled: {phase:?}", query.request);
+            log::debug!(
+                "attempt: {} cancelled at the runner, phase {phase:?}",
+                query.request
+            );
         });
     }
 }
 
 async fn refusal_cause(response: Response<Incoming>) -> NotRunCause {
-    let asked = read_asked_rest(response.status(), response.headers(), SystemTime::now());
-    if let RetryAfter::After(rest) = asked {
-        return NotRunCause::Resting(rest);
+    let retry_after = read_asked_rest(response.status(), response.headers(), SystemTime::now());
+    if let RetryAfter::After(backoff) = retry_after {
+        return NotRunCause::InBackoff(backoff);
     }
     if response.status() == StatusCode::BAD_REQUEST {
         return NotRunCause::Invalid;
--- a/crates/router/src/attempt/stream.rs
+++ b/crates/router/src/attempt/stream.rs
@@ -1,10 +1,11 @@
-//! The events of one runner's stream, resumed at the last token after a break.
+//! Reads the events of a runner's stream and resumes it after a failure at the
+//! next expected position.
 //!
-//! Invariant: events come in order, each once, from the attempt's own runner;
-//! the stream ends with its last event or with an error, never silently.
+//! Invariant: events are returned in order, each once, and all from the runner of
+//! the attempt. The stream ends with its last event or with an error.
 
 use super::counts::Count;
-use super::events::{EventParser, EventVerdict, judge_event};
+use super::events::{EventClass, EventParser, classify_event};
 use super::machine::AttemptEvent;
 use super::outcome::{AttemptEnd, UnknownCause};
 use super::query::{execution_status, fetch_execution};
@@ -16,14 +17,14 @@
 use hyper::body::Incoming;
 use std::time::Duration;
 
-/// Breaks in a row, without an event between, after which a stream is given up.
+/// Number of consecutive resumes without a new event after which a stream fails.
 const MAX_RESUMES: u32 = 3;
-/// Pause before the first resume; each further one takes twice as long.
+/// Pause before the first resume; doubles with each further one.
 const RESUME_PAUSE: Duration = Duration::from_millis(50);
-/// Longest time between two events.
-const STALL: Duration = Duration::from_secs(15);
+/// Maximum time between two reads after the first event.
+const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// See the module.
+/// Events of the stream of one attempt.
 #[derive(Debug)]
 pub struct EventStream {
     open: OpenAttempt,
@@ -35,7 +36,7 @@
 }
 
 impl EventStream {
-    /// The events of an attempt's answer.
+    /// Creates the event stream of an attempt's answer.
     #[must_use]
     pub fn new(open: OpenAttempt, response: Response<Incoming>) -> Self {
         Self {
@@ -48,16 +49,16 @@
         }
     }
 
-    /// Whether an event was passed on.
+    /// Whether an event has been returned.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         self.next_position > 0
     }
 
-    /// The next event; `None` after the last.
+    /// Returns the next event; `None` after the last one.
     ///
     /// # Errors
-    /// How the attempt ended, when the stream can't go on.
+    /// How the attempt ended if the stream can't be continued.
     pub async fn next(&mut self) -> Result<Option<Bytes>, AttemptEnd> {
         if self.ended {
             return Ok(None);
@@ -67,48 +68,48 @@
                 self.read().await?;
                 continue;
             };
-            if let Some(event) = self.judge(event).await? {
+            if let Some(event) = self.accept_event(event).await? {
                 return Ok(Some(event));
             }
         }
     }
 
-    async fn judge(&mut self, event: Bytes) -> Result<Option<Bytes>, AttemptEnd> {
+    async fn accept_event(&mut self, event: Bytes) -> Result<Option<Bytes>, AttemptEnd> {
         let request = &self.open.query().request;
         let counts = self.open.context().counts.clone();
-        match judge_event(&event, request, self.next_position) {
-            EventVerdict::Next => {
+        match classify_event(&event, request, self.next_position) {
+            EventClass::Next => {
                 self.next_position += 1;
                 self.resumes = 0;
                 Ok(Some(event))
             }
-            EventVerdict::Done => {
+            EventClass::Done => {
                 self.ended = true;
                 self.open.end(AttemptEvent::Finished);
                 Ok(Some(event))
             }
-            EventVerdict::Doubled => {
+            EventClass::Duplicate => {
                 counts.add(Count::Duplicate);
                 Ok(None)
             }
-            EventVerdict::Crossed => {
+            EventClass::Mismatched => {
                 counts.add(Count::Mismatched);
                 Ok(None)
             }
-            EventVerdict::Gap => {
+            EventClass::Gap => {
                 self.resume("events are missing").await?;
                 Ok(None)
             }
         }
     }
 
-    /// Reads more bytes, over a new connection if the present one has ended.
+    /// Reads more bytes; resumes over a new connection if the current one ended.
     async fn read(&mut self) -> Result<(), AttemptEnd> {
-        let patience = match self.has_begun() {
-            true => STALL,
+        let wait_limit = match self.has_begun() {
+            true => STALL_TIMEOUT,
             false => self.open.time_left(),
         };
-        match tokio::time::timeout(patience, self.incoming.frame()).await {
+        match tokio::time::timeout(wait_limit, self.incoming.frame()).await {
             Ok(Some(Ok(frame))) => {
                 if let Some(data) = frame.data_ref() {
                     self.parser.push(data);
@@ -119,23 +120,23 @@
                 Ok(())
             }
             Ok(Some(Err(error))) => self.resume(&error.to_string()).await,
-            Ok(None) => self.resume("the stream ended early").await,
+            Ok(None) => self.resume("the stream ended before its last event").await,
             Err(_) if !self.has_begun() => {
-                let event = self.open.give_up().await;
+                let event = self.open.cancel_after_deadline().await;
                 Err(self.open.end(event))
             }
             Err(_) => self.after_stall().await,
         }
     }
 
-    /// Goes on over a new connection. A runner that says that the stream runs
-    /// is only slow, however often.
+    /// Resumes over a new connection. If the runner reports that the execution is
+    /// running, it is only slow, and the number of resumes is not limited.
     async fn after_stall(&mut self) -> Result<(), AttemptEnd> {
         let client = &self.open.context().client;
         if let Some(ExecutionPhase::Running) = execution_status(client, self.open.query()).await {
             self.resumes = 0;
         }
-        self.resume("no event in time").await
+        self.resume("no data within the stall timeout").await
     }
 
     async fn resume(&mut self, problem: &str) -> Result<(), AttemptEnd> {
@@ -150,7 +151,7 @@
             match fetched {
                 Ok(Some(response)) if self.open.matches(&response) => {
                     log::info!(
-                        "attempt: {} resumed at token {}: {problem}",
+                        "attempt: {} resumed at position {} after a failure: {problem}",
                         query.request,
                         self.next_position
                     );
@@ -160,10 +161,13 @@
                 }
                 Ok(None) => break,
                 Ok(Some(_)) => {}
-                Err(error) => log::info!("attempt: {}: {error}", query.request),
+                Err(error) => log::info!("attempt: {}: resume failed: {error}", query.request),
             }
         }
-        log::warn!("attempt: {} is lost: {problem}", self.open.query().request);
-        Err(self.open.end(AttemptEvent::Failed(UnknownCause::CutShort)))
+        log::warn!(
+            "attempt: {}: the stream could not be resumed: {problem}",
+            self.open.query().request
+        );
+        Err(self.open.end(AttemptEvent::Failed(UnknownCause::Truncated)))
     }
 }
--- a/crates/router/src/caller/access.rs
+++ b/crates/router/src/caller/access.rs
@@ -1,4 +1,4 @@
-//! The access log: one line for each request.
+//! The access log: one line for each completion request.
 
 use crate::RouterContext;
 use crate::attempt::{AttemptCounts, Execution, Work};
@@ -6,27 +6,27 @@
 use courseshunt_types::{Outcome, PriorityClass, Refusal, RunnerId, Timestamp};
 use std::sync::Arc;
 
-/// What the line of one request tells. A record that is dropped before its end
-/// tells that the caller left.
+/// Collects the fields of a request's log line. A record that is dropped before
+/// the end of the request is logged with the result `caller_left`.
 #[derive(Debug)]
 pub struct AccessRecord {
     counts: Arc<AttemptCounts>,
     clock: MonotonicClock,
     class: PriorityClass,
-    /// Identity, class, tenant and deployment, ready for the line.
-    names: String,
+    /// Id, class, tenant and deployment, formatted for the line.
+    identity: String,
     arrived: Timestamp,
     granted_at: Option<Timestamp>,
-    first_at: Option<Timestamp>,
+    first_byte_at: Option<Timestamp>,
     attempts: u32,
     runner: Option<RunnerId>,
     ended: bool,
 }
 
 impl AccessRecord {
-    /// The record of a request that has arrived.
+    /// Creates the record of a request that has arrived.
     pub fn new(context: &RouterContext, work: &Work) -> Self {
-        let names = format!(
+        let identity = format!(
             "id={} class={} tenant={} deployment={}",
             work.request, work.class, work.tenant, work.deployment
         );
@@ -34,30 +34,30 @@
             counts: context.counts.clone(),
             clock: context.clock,
             class: work.class,
-            names,
+            identity,
             arrived: work.arrived,
             granted_at: None,
-            first_at: None,
+            first_byte_at: None,
             attempts: 0,
             runner: None,
             ended: false,
         }
     }
 
-    /// Notes the attempts so far.
-    pub fn note(&mut self, execution: &Execution<'_>) {
+    /// Records the number of attempts, the last runner and the time of its grant.
+    pub fn record_attempts(&mut self, execution: &Execution<'_>) {
         self.attempts = execution.attempts();
         self.runner = execution.last_runner().cloned();
         self.granted_at = execution.granted_at();
     }
 
-    /// Notes the first byte of the answer.
-    pub fn first_byte(&mut self) {
-        self.first_at = Some(self.clock.now());
+    /// Records the time of the first byte of the answer.
+    pub fn record_first_byte(&mut self) {
+        self.first_byte_at = Some(self.clock.now());
         self.attempts += 1;
     }
 
-    /// Writes the line of a request that got its whole answer.
+    /// Writes the line of a request that got its complete answer.
     pub fn done(mut self) {
         self.write(Outcome::Done, "answered");
     }
@@ -70,19 +70,19 @@
     fn write(&mut self, outcome: Outcome, result: &str) {
         self.ended = true;
         self.counts.add_outcome(self.class, outcome);
-        let since = |at: Option<Timestamp>| {
+        let elapsed_ms = |at: Option<Timestamp>| {
             at.map_or("-".to_owned(), |at| at.since(self.arrived).0.to_string())
         };
-        let total = self.clock.now().since(self.arrived).0;
+        let total_ms = self.clock.now().since(self.arrived).0;
         log::info!(
             "access: {} runner={} attempts={} outcome={} result={result} \
-             wait_ms={} first_ms={} total_ms={total}",
-            self.names,
+             wait_ms={} first_ms={} total_ms={total_ms}",
+            self.identity,
             self.runner.as_ref().map_or("-", RunnerId::as_str),
             self.attempts,
             outcome.as_str(),
-            since(self.granted_at),
-            since(self.first_at),
+            elapsed_ms(self.granted_at),
+            elapsed_ms(self.first_byte_at),
         );
     }
 }
--- a/crates/router/src/caller/complete.rs
+++ b/crates/router/src/caller/complete.rs
@@ -1,4 +1,5 @@
-//! Serves one completion that may be repeated: wait for a grant, send, relay.
+//! Serves a repeatable completion: waits for a grant, sends the request to the
+//! runner and relays the answer.
 
 use super::access::AccessRecord;
 use super::once_only;
@@ -18,27 +19,27 @@
 /// Start of the content type of a stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Serves a request.
+/// Serves a parsed request: repeatable, or at most once under its key.
 pub async fn run(
     context: &RouterContext,
     request: CallerRequest,
 ) -> Result<Response<Body>, Refusal> {
     match request.repeat.clone() {
-        RepeatRule::Any => repeatable(context, &request).await,
+        RepeatRule::Any => run_repeatable(context, &request).await,
         RepeatRule::Never(key) => once_only::run(context, request, key).await,
     }
 }
 
-/// An answer that has begun.
+/// An answer of which at least the first event has been received.
 enum Answer {
-    Whole(StoredAnswer),
+    Complete(StoredAnswer),
     Stream {
         first: Option<Bytes>,
         events: Box<EventStream>,
     },
 }
 
-async fn repeatable(
+async fn run_repeatable(
     context: &RouterContext,
     request: &CallerRequest,
 ) -> Result<Response<Body>, Refusal> {
@@ -46,19 +47,19 @@
     let mut access = AccessRecord::new(context, &work);
     let mut execution = Execution::new(context, &work);
     let answered = answer(&mut execution).await;
-    access.note(&execution);
+    access.record_attempts(&execution);
     match answered {
-        Ok(Answer::Whole(answer)) => {
-            access.first_byte();
+        Ok(Answer::Complete(answer)) => {
+            access.record_first_byte();
             access.done();
-            Ok(whole(&work.request, answer))
+            Ok(complete_response(&work.request, answer))
         }
         Ok(Answer::Stream { first, events }) => {
-            access.first_byte();
+            access.record_first_byte();
             let (sender, body) = channel_body();
             let relay = relay(access, first, *events, sender);
             context.tasks.spawn(relay);
-            Ok(stream(&work.request, body))
+            Ok(stream_response(&work.request, body))
         }
         Err(refusal) => {
             access.refused(&refusal);
@@ -72,29 +73,29 @@
         let granted = execution.grant().await?;
         match attempt(execution, granted).await {
             Ok(answer) => {
-                execution.answered();
+                execution.record_service_time();
                 return Ok(answer);
             }
-            Err(end) => execution.after(end)?,
+            Err(end) => execution.handle_end(end)?,
         }
     }
 }
 
-/// One attempt, up to its whole answer or the first event of its stream.
+/// Makes one attempt, up to its complete answer or the first event of its stream.
 async fn attempt(execution: &Execution<'_>, granted: GrantedRequest) -> Result<Answer, AttemptEnd> {
     let (open, response) = execution.attempt(granted).await?;
     let content_type = response.headers().get(CONTENT_TYPE);
-    let streams =
-        content_type.is_some_and(|one| one.as_bytes().starts_with(EVENT_STREAM.as_bytes()));
-    if !streams {
-        return Ok(Answer::Whole(read_answer(open, response).await?));
+    let is_stream =
+        content_type.is_some_and(|value| value.as_bytes().starts_with(EVENT_STREAM.as_bytes()));
+    if !is_stream {
+        return Ok(Answer::Complete(read_answer(open, response).await?));
     }
     let mut events = Box::new(EventStream::new(open, response));
     let first = events.next().await?;
     Ok(Answer::Stream { first, events })
 }
 
-/// Relays a stream; a broken one ends with an error event, never silently.
+/// Relays a stream to the caller; a stream that fails ends with an error event.
 async fn relay(
     access: AccessRecord,
     first: Option<Bytes>,
@@ -126,8 +127,8 @@
     Bytes::from(format!("data: {content}\n\n"))
 }
 
-/// A whole answer as a response.
-pub fn whole(request: &RequestId, answer: StoredAnswer) -> Response<Body> {
+/// Builds the response for a complete answer.
+pub fn complete_response(request: &RequestId, answer: StoredAnswer) -> Response<Body> {
     let mut response = Response::new(full_body(answer.body));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     if let Ok(value) = HeaderValue::from_str(&answer.content_type) {
@@ -135,19 +136,19 @@
     }
     let done = HeaderValue::from_static(Outcome::Done.as_str());
     response.headers_mut().insert(OUTCOME_HEADER, done);
-    identify(request, &mut response);
+    set_request_id(request, &mut response);
     response
 }
 
-fn stream(request: &RequestId, body: Body) -> Response<Body> {
+fn stream_response(request: &RequestId, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     let events = HeaderValue::from_static(EVENT_STREAM);
     response.headers_mut().insert(CONTENT_TYPE, events);
-    identify(request, &mut response);
+    set_request_id(request, &mut response);
     response
 }
 
-fn identify(request: &RequestId, response: &mut Response<Body>) {
+fn set_request_id(request: &RequestId, response: &mut Response<Body>) {
     if let Ok(value) = HeaderValue::from_str(request.as_str()) {
         response.headers_mut().insert(REQUEST_ID_HEADER, value);
     }
--- a/crates/router/src/caller/metrics.rs
+++ b/crates/router/src/caller/metrics.rs
@@ -18,8 +18,8 @@
 
 impl RequestCounts {
     /// Counts one request.
-    pub fn record<T>(&self, answered: &Result<T, Refusal>) {
-        let result = match answered {
+    pub fn record<T>(&self, request_result: &Result<T, Refusal>) {
+        let result = match request_result {
             Ok(_) => ANSWERED,
             Err(refusal) => refusal.reason.code(),
         };
@@ -42,7 +42,7 @@
     }
 }
 
-/// The page, from the values of this moment.
+/// Renders the metrics page from the current values.
 pub fn page(context: &RouterContext) -> String {
     let mut page = MetricsPage::default();
     page.counters(
@@ -63,23 +63,23 @@
     );
     page.gauge(
         "stopping",
-        "1 from the planned stop on.",
+        "1 after a planned stop has begun.",
         f64::from(u8::from(context.stop.is_cancelled())),
     );
     page.gauge(
         "deployments",
-        "Deployments in force.",
+        "Deployments in the configuration in force.",
         context.view.deployments().len() as f64,
     );
     page.gauge(
         "routers",
-        "Routers that the fleet view holds.",
+        "Live routers in the fleet view.",
         context.view.routers().len() as f64,
     );
     context.counts.write(&mut page);
     page.gauge(
         "retry_budget",
-        "Retries that the budget allows now.",
+        "Retries that the budget currently allows.",
         context.retry_budget.tokens(),
     );
     page.gauge(
@@ -87,13 +87,13 @@
         "Memory reserved for callers' bodies.",
         context.bodies.used() as f64,
     );
-    dispatch(&mut page, &context.dispatcher.snapshot());
+    dispatch_metrics(&mut page, &context.dispatcher.snapshot());
     page.process();
     page.text()
 }
 
-/// Tickets, grants and the queues that this router owns.
-fn dispatch(page: &mut MetricsPage, snapshot: &DispatchSnapshot) {
+/// Adds the metrics of tickets, grants and the queues that this router owns.
+fn dispatch_metrics(page: &mut MetricsPage, snapshot: &DispatchSnapshot) {
     let waiting = PriorityClass::ALL.into_iter().flat_map(|class| {
         let owned = f64::from(snapshot.waiting.of(class));
         let fallback = f64::from(snapshot.waiting_fallback.of(class));
@@ -112,12 +112,12 @@
     );
     page.gauge(
         "admission_limit",
-        "Requests that this router holds at the most, as adapted to its lag.",
+        "Maximum number of requests that wait at this router, adapted to its processing lag.",
         snapshot.admission_limit,
     );
     page.gauge(
         "owned_queues",
-        "Queues served here as their owner.",
+        "Queues that this router serves as their owner.",
         snapshot.owned_queues as f64,
     );
     let totals = &snapshot.totals;
@@ -134,12 +134,12 @@
     );
     page.counters(
         "granted_wait_milliseconds",
-        "Waits of the granted tickets together, by class.",
+        "Total wait time of the granted tickets, by class.",
         by_class(&|class| totals.waiting.waited_ms[class.rank()]),
     );
     page.gauge(
         "ejected_runners",
-        "Runners that get no work because they fail or are slow, by queue.",
+        "Runners that get no work because they fail or are slow, counted once for each queue.",
         snapshot.ejected as f64,
     );
     let holder = &snapshot.holder;
@@ -161,7 +161,7 @@
         ),
         (
             "draining_refusals",
-            "Refusals of runners that drain.",
+            "Refusals by draining runners.",
             totals.health.draining_refusals,
         ),
         (
@@ -177,13 +177,13 @@
         ),
         (
             "owner_changes",
-            "Times that tickets moved to another owner.",
+            "Number of times that tickets moved to another owner.",
             holder.site_changes,
         ),
-        ("grants", "Grants taken.", holder.grants),
+        ("grants", "Grants received and used.", holder.grants),
         (
             "grants_unwanted",
-            "Grants returned because nobody waited.",
+            "Grants returned because no request was waiting for them.",
             holder.grants_unwanted,
         ),
     ];
--- a/crates/router/src/caller/mod.rs
+++ b/crates/router/src/caller/mod.rs
@@ -1,4 +1,5 @@
-//! The callers' API: OpenAI-style completions, models, health pages.
+//! The HTTP API for callers: OpenAI-style completions, models, deferred jobs,
+//! health and metrics pages.
 
 mod access;
 mod complete;
@@ -25,13 +26,13 @@
 use std::net::SocketAddr;
 use std::pin::Pin;
 
-/// When a caller that met a stopping router may come back; another router takes
-/// it at once.
+/// Retry delay sent to a caller by a stopping router; another router would accept
+/// the request at once.
 const STOPPING_RETRY_AFTER: Millis = Millis::from_secs(1);
 
 type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
-/// The handler for [`courseshunt_http::serve`].
+/// Creates the request handler for [`courseshunt_http::serve`].
 pub fn handler(
     context: RouterContext,
 ) -> impl Fn(Request<Incoming>, SocketAddr) -> ResponseFuture + Clone + Send + Sync + 'static {
@@ -43,16 +44,17 @@
 
 async fn answer(request: Request<Incoming>, context: &RouterContext) -> Response<Body> {
     let path = request.uri().path().to_owned();
-    let answered = match allowed_method(&path) {
-        Some(method) if request.method() != method => Err(wrong_method(&request, &method)),
+    let result = match allowed_method(&path) {
+        Some(method) if request.method() != method => Err(method_not_allowed(&request, &method)),
         Some(_) if header_bytes(&request) > MAX_HEADER_BYTES => Err(headers_too_large()),
         _ => route(request, context, &path).await,
     };
-    context.requests.record(&answered);
-    answered.unwrap_or_else(|refusal| refusal_response(&refusal))
+    context.requests.record(&result);
+    result.unwrap_or_else(|refusal| refusal_response(&refusal))
 }
 
-/// The method that a page takes; `None` when there is no such page.
+/// The method that a path allows; `None` for unknown paths and for the jobs API,
+/// which checks its methods itself.
 fn allowed_method(path: &str) -> Option<Method> {
     match path {
         "/healthz" | "/readyz" | "/metrics" | "/v1/models" => Some(Method::GET),
@@ -61,7 +63,7 @@
     }
 }
 
-fn wrong_method(request: &Request<Incoming>, allowed: &Method) -> Refusal {
+fn method_not_allowed(request: &Request<Incoming>, allowed: &Method) -> Refusal {
     let (method, path) = (request.method(), request.uri().path());
     let message = format!("{path} takes {allowed}, not {method}");
     Refusal::not_run(RefusalReason::MethodNotAllowed, message)
@@ -82,7 +84,7 @@
         "/readyz" => Ok(ready(context)),
         "/metrics" => Ok(text_response(StatusCode::OK, metrics::page(context))),
         "/v1/models" => models(&request, context),
-        _ if is_jobs(path) => jobs_page(request, context, path).await,
+        _ if is_jobs_path(path) => jobs_page(request, context, path).await,
         "/v1/chat/completions" => completion(request, context, "/v1/chat/completions").await,
         "/v1/completions" => completion(request, context, "/v1/completions").await,
         _ => {
@@ -123,9 +125,10 @@
     let documents = context.view.deployments();
     let visible = documents
         .iter()
-        .filter(|one| request::may_use(one, &tenant));
-    let data =
-        visible.map(|one| json!({"id": one.name, "object": "model", "owned_by": one.tenant}));
+        .filter(|document| request::may_use(document, &tenant));
+    let data = visible.map(
+        |document| json!({"id": document.name, "object": "model", "owned_by": document.tenant}),
+    );
     let content = json!({"object": "list", "data": data.collect::<Vec<_>>()});
     Ok(json_response(StatusCode::OK, &content))
 }
@@ -142,10 +145,10 @@
     complete::run(context, parsed).await
 }
 
-/// Whether a path belongs to the deferred jobs.
-fn is_jobs(path: &str) -> bool {
-    let rest = path.strip_prefix(jobs::JOBS_PATH);
-    rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+/// Whether a path belongs to the API of deferred jobs.
+fn is_jobs_path(path: &str) -> bool {
+    let suffix = path.strip_prefix(jobs::JOBS_PATH);
+    suffix.is_some_and(|suffix| suffix.is_empty() || suffix.starts_with('/'))
 }
 
 async fn jobs_page(
@@ -159,7 +162,8 @@
     jobs::handle(context, tenant, &head.method, path, &head.headers, body).await
 }
 
-/// Reads a caller's body; its memory is reserved as long as the reservation.
+/// Reads a caller's body. The returned reservation counts its memory and must be
+/// kept as long as the body.
 async fn read_body(
     context: &RouterContext,
     headers: &HeaderMap,
@@ -169,19 +173,19 @@
     let mut reserved = context.bodies.reserve(expected_bytes(headers, limit))?;
     let body_timeout = context.settings.body_timeout.into();
     let body = read_in_time(body, limit, body_timeout, "caller").await;
-    let body = body.map_err(|error| unreadable_body(&error))?;
+    let body = body.map_err(|error| body_refusal(&error))?;
     reserved.shrink(body.len());
     Ok((body, reserved))
 }
 
-/// Bytes that a body may take: its length, or the limit when none is told.
+/// Bytes to reserve for a body: its declared length, or the limit if there is none.
 fn expected_bytes(headers: &HeaderMap, limit: usize) -> usize {
     let length = headers.get(CONTENT_LENGTH);
     let length = length.and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
     length.unwrap_or(limit).min(limit)
 }
 
-fn unreadable_body(error: &HttpError) -> Refusal {
+fn body_refusal(error: &HttpError) -> Refusal {
     let reason = match error {
         HttpError::TooLarge { .. } => RefusalReason::TooLarge,
         HttpError::TimedOut { .. } => RefusalReason::RequestTimeout,
--- a/crates/router/src/caller/once_only.rs
+++ b/crates/router/src/caller/once_only.rs
@@ -1,11 +1,12 @@
-//! Serves a request that runs at most once.
+//! Serves a request that must run at most once.
 //!
-//! Invariants: nothing is sent before its claim is committed; a claim is given
-//! back only when its attempt is proved not to have run; the work goes on when
-//! its caller leaves, so that a repeat gets the recorded answer.
+//! Invariants: a request is sent only after its claim has been committed; a claim
+//! is released only if its attempt is proved not to have run; the work continues
+//! when the caller disconnects, so that a repeated request gets the recorded
+//! answer.
 
 use super::access::AccessRecord;
-use super::complete::whole;
+use super::complete::complete_response;
 use super::request::CallerRequest;
 use crate::RouterContext;
 use crate::attempt::{AttemptEnd, Count, Execution, RunnerQuery, Work, read_answer};
@@ -22,22 +23,23 @@
 
 mod recover;
 
-/// How long a claim is kept.
-const CLAIM_KEEP: Millis = Millis::from_secs(24 * 3600);
-/// Longest wait for the ledger before a request is refused.
-const LEDGER_PATIENCE: Duration = Duration::from_secs(2);
-/// Pause between tries of a command that must be committed in the end.
-const COMMIT_PAUSE: Duration = Duration::from_millis(500);
-/// Time after the deadline in which the truthful refusal still comes.
-const GRACE: Millis = Millis(500);
-/// When to come back for a request that runs.
+/// Retention time of a claim.
+const CLAIM_RETENTION: Millis = Millis::from_secs(24 * 3600);
+/// Timeout of a ledger command, after which the request is refused.
+const LEDGER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between retries of a command that must be committed eventually.
+const COMMIT_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Time after the deadline for which the handler still waits for the refusal with
+/// the known outcome.
+const DEADLINE_GRACE: Millis = Millis(500);
+/// Retry delay sent for a request that is in progress.
 const IN_PROGRESS_RETRY: Millis = Millis::from_secs(1);
-/// When to come back for a ledger without quorum.
+/// Retry delay sent when the ledger has no quorum.
 const LEDGER_RETRY: Millis = Millis::from_secs(2);
-/// Longest answer that is recorded, in bytes.
+/// Maximum length of a recorded answer, in bytes.
 pub const MAX_RECORDED_BYTES: usize = 1024 * 1024;
 
-/// Serves a request.
+/// Serves a request under its idempotency key.
 pub async fn run(
     context: &RouterContext,
     request: CallerRequest,
@@ -45,20 +47,20 @@
 ) -> Result<Response<Body>, Refusal> {
     let now = context.clock.now();
     let work = request.work(now);
-    let patience = Millis(work.deadline.since(now).0 + GRACE.0);
+    let wait_limit = Millis(work.deadline.since(now).0 + DEADLINE_GRACE.0);
     let id = work.request.clone();
     let (reply, received) = oneshot::channel();
-    let once = OnceOnly {
+    let once_only = OnceOnly {
         context: context.clone(),
         digest: request.digest,
         key,
         work,
     };
     context.tasks.spawn(async move {
-        let _ = reply.send(once.run().await);
+        let _ = reply.send(once_only.run().await);
     });
-    match tokio::time::timeout(patience.into(), received).await {
-        Ok(Ok(answered)) => answered.map(|answer| whole(&id, answer)),
+    match tokio::time::timeout(wait_limit.into(), received).await {
+        Ok(Ok(answered)) => answered.map(|answer| complete_response(&id, answer)),
         Ok(Err(_)) => {
             let message = "the router stopped while the request ran";
             Err(Refusal::unknown(RefusalReason::RunnerFailed, message))
@@ -71,7 +73,7 @@
     }
 }
 
-/// One request under its key.
+/// A request under its idempotency key.
 #[derive(Debug)]
 struct OnceOnly {
     context: RouterContext,
@@ -85,7 +87,7 @@
         let mut access = AccessRecord::new(&self.context, &self.work);
         let mut execution = Execution::new(&self.context, &self.work);
         let answered = self.answer(&mut execution).await;
-        access.note(&execution);
+        access.record_attempts(&execution);
         match &answered {
             Ok(_) => access.done(),
             Err(refusal) => access.refused(refusal),
@@ -118,11 +120,11 @@
                 }
                 Err(end) if end.outcome() == Outcome::NotRun => {
                     self.release(attempt).await?;
-                    execution.after(end)?;
+                    execution.handle_end(end)?;
                 }
                 Err(end) => {
                     self.finish(attempt, None).await;
-                    execution.after(end)?;
+                    execution.handle_end(end)?;
                     return Err(unknown());
                 }
             }
@@ -138,13 +140,15 @@
         read_answer(open, response).await
     }
 
-    /// Whether the request would wait for a load.
+    /// Whether the deployment has no ready replica, so that the request would wait
+    /// for a load.
     fn is_cold(&self) -> bool {
         let replicas = self.context.view.replicas(&self.work.deployment);
         replicas.is_none_or(|replicas| replicas.ready.is_empty())
     }
 
-    /// Asks for the key before a wait, so that a repeat loads no model.
+    /// Looks the key up before the wait for a grant, so that a repeated request
+    /// causes no model load.
     async fn look_up(&self) -> Result<Option<StoredAnswer>, Refusal> {
         let command = Command::LookUpClaim {
             tenant: self.work.tenant.clone(),
@@ -154,15 +158,15 @@
         match self
             .context
             .ledger
-            .commit_within(command, LEDGER_PATIENCE)
+            .commit_within(command, LEDGER_TIMEOUT)
             .await
         {
-            Ok(CommandReply::Claim(reply)) => self.judge(reply).await,
+            Ok(CommandReply::Claim(reply)) => self.handle_claim_reply(reply).await,
             _ => Err(unavailable()),
         }
     }
 
-    /// Opens the claim; `Some` when the answer is there already.
+    /// Opens the claim; `Some` if the answer has already been recorded.
     async fn open(
         &self,
         runner: &RunnerId,
@@ -177,15 +181,15 @@
             runner: runner.clone(),
             request: self.work.request.clone(),
             attempt,
-            keep: CLAIM_KEEP,
+            keep: CLAIM_RETENTION,
         }));
         match self
             .context
             .ledger
-            .commit_within(command, LEDGER_PATIENCE)
+            .commit_within(command, LEDGER_TIMEOUT)
             .await
         {
-            Ok(CommandReply::Claim(reply)) => self.judge(reply).await,
+            Ok(CommandReply::Claim(reply)) => self.handle_claim_reply(reply).await,
             Ok(_) | Err(LedgerError::NotCommitted) => Err(unavailable()),
             Err(LedgerError::Undecided) => {
                 self.context.counts.add(Count::ClaimWithdrawn);
@@ -195,7 +199,7 @@
         }
     }
 
-    async fn judge(&self, reply: ClaimReply) -> Result<Option<StoredAnswer>, Refusal> {
+    async fn handle_claim_reply(&self, reply: ClaimReply) -> Result<Option<StoredAnswer>, Refusal> {
         let counts = &self.context.counts;
         match reply {
             ClaimReply::Free => Ok(None),
@@ -218,7 +222,11 @@
                 if self.context.is_live(&router, incarnation) {
                     return Err(in_progress());
                 }
-                let address = self.context.view.runner(&runner).map(|one| one.address);
+                let address = self
+                    .context
+                    .view
+                    .runner(&runner)
+                    .map(|endpoint| endpoint.address);
                 let query = RunnerQuery {
                     address: address.unwrap_or_default(),
                     incarnation: None,
@@ -249,25 +257,26 @@
         }
     }
 
-    /// Gives the claim of an attempt back that is proved not to have run.
+    /// Releases the claim of an attempt that is proved not to have run.
     async fn release(&self, attempt: Attempt) -> Result<(), Refusal> {
         let command = self.release_command(attempt);
-        match commit_in_the_end(&self.context, command).await {
+        match commit_with_retries(&self.context, command).await {
             true => Ok(()),
             false => Err(unavailable()),
         }
     }
 
-    /// Fences a claim that may be committed yet, so that the key is not stuck.
+    /// Releases in the background a claim that may still be committed, so that the
+    /// key does not stay blocked.
     fn withdraw(&self, attempt: Attempt) {
         let command = self.release_command(attempt);
         let context = self.context.clone();
-        let work = async move { commit_in_the_end(&context, command).await };
+        let work = async move { commit_with_retries(&context, command).await };
         self.context.tasks.spawn(work);
     }
 
-    /// Records the end of the claim. An answer that is too long to be recorded
-    /// counts as unknown for repeats.
+    /// Records the end of the claim. Without an answer, or with one longer than
+    /// [`MAX_RECORDED_BYTES`], repeated requests get the outcome unknown.
     async fn finish(&self, attempt: Attempt, answer: Option<StoredAnswer>) {
         let command = Command::FinishClaim {
             tenant: self.work.tenant.clone(),
@@ -276,20 +285,20 @@
             attempt,
             answer: answer.filter(|answer| answer.body.len() <= MAX_RECORDED_BYTES),
         };
-        commit_in_the_end(&self.context, command).await;
+        commit_with_retries(&self.context, command).await;
     }
 }
 
-/// Commits a command that may be repeated, however long it takes. Returns
-/// whether it was committed within [`LEDGER_PATIENCE`].
-async fn commit_in_the_end(context: &RouterContext, command: Command) -> bool {
-    let owned = context.clone();
+/// Retries an idempotent command in the background until it is committed. Returns
+/// whether it was committed within [`LEDGER_TIMEOUT`].
+async fn commit_with_retries(context: &RouterContext, command: Command) -> bool {
+    let task_context = context.clone();
     let work = context.tasks.spawn(async move {
-        while owned.ledger.commit(command.clone()).await.is_err() {
-            tokio::time::sleep(COMMIT_PAUSE).await;
+        while task_context.ledger.commit(command.clone()).await.is_err() {
+            tokio::time::sleep(COMMIT_RETRY_PAUSE).await;
         }
     });
-    tokio::time::timeout(LEDGER_PATIENCE, work).await.is_ok()
+    tokio::time::timeout(LEDGER_TIMEOUT, work).await.is_ok()
 }
 
 fn unavailable() -> Refusal {
--- a/crates/router/src/caller/request.rs
+++ b/crates/router/src/caller/request.rs
@@ -1,4 +1,4 @@
-//! Reads and checks a caller's request.
+//! Parses and validates a caller's request.
 
 use crate::attempt::Work;
 use crate::configuration::ConfigurationView;
@@ -11,58 +11,58 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// Header with the class: `critical`, `interactive` or `batch`.
+/// Header with the priority class: `critical`, `interactive` or `batch`.
 pub const CLASS_HEADER: &str = "x-courseshunt-class";
-/// Header with the deadline, in milliseconds from now.
+/// Header with the deadline, in milliseconds after the arrival.
 pub const DEADLINE_HEADER: &str = "x-courseshunt-deadline-ms";
 /// Header that says whether the request may be repeated: `any` or `never`.
 pub const REPEAT_HEADER: &str = "x-courseshunt-repeat";
 /// Header with the key of a request that must run at most once.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
-/// Bytes of text that count as one token.
+/// Bytes per token in the estimate of the prompt's length.
 const BYTES_PER_TOKEN: usize = 4;
-/// Tokens assumed when the request names none.
+/// Value of `max_tokens` if the request has none.
 const DEFAULT_MAX_TOKENS: u64 = 16;
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RepeatRule {
-    /// It may.
+    /// It may run any number of times.
     Any,
-    /// At most once, under this key.
+    /// It must run at most once, under this key.
     Never(IdempotencyKey),
 }
 
-/// A checked request.
+/// A validated request.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
-    /// Identity, drawn here.
+    /// Random id of the request, generated at parsing.
     pub request: RequestId,
-    /// The tenant.
+    /// Tenant of the caller.
     pub tenant: TenantName,
-    /// Document of the deployment, as in force at the arrival.
+    /// Document of the deployment that was in force at the arrival.
     pub document: Arc<DeploymentDocument>,
-    /// The adapter, if one is named.
+    /// Adapter, if the request names one.
     pub adapter: Option<AdapterName>,
-    /// Class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// Time until the deadline, at the arrival.
+    /// Time from the arrival to the deadline.
     pub deadline_in: Millis,
-    /// Whether it may be repeated.
+    /// Whether the request may run more than once.
     pub repeat: RepeatRule,
-    /// Digest of the body.
+    /// Digest of the body, to detect a key that is reused with another body.
     pub digest: Digest,
     /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Tokens to generate at the most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Path at the runner.
+    /// Path of the request at the runner.
     pub path: &'static str,
-    /// The body.
+    /// Body as the caller sent it.
     pub body: Bytes,
 }
 
@@ -73,10 +73,10 @@
 }
 
 impl CallerRequest {
-    /// Reads headers and body.
+    /// Parses headers and body.
     ///
     /// # Errors
-    /// The refusal for the caller; nothing ran.
+    /// The refusal for the caller, with the outcome not-run.
     pub fn parse(
         headers: &HeaderMap,
         body: Bytes,
@@ -121,9 +121,9 @@
     /// The idempotency key in the headers.
     ///
     /// # Errors
-    /// When it is too long or no text.
+    /// When the key is empty, too long or not printable ASCII.
     pub fn key(headers: &HeaderMap) -> Result<Option<IdempotencyKey>, Refusal> {
-        let key = text(headers, KEY_HEADER)?;
+        let key = header_text(headers, KEY_HEADER)?;
         if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_BYTES) {
             return Err(invalid(format!(
                 "{KEY_HEADER} must have 1 to {MAX_KEY_BYTES} bytes"
@@ -132,13 +132,15 @@
         Ok(key.map(IdempotencyKey::from))
     }
 
-    /// Whether the headers say in so many words that the request may repeat.
+    /// Whether the headers explicitly allow repetition.
     #[must_use]
     pub fn may_repeat(headers: &HeaderMap) -> bool {
-        headers.get(REPEAT_HEADER).is_some_and(|one| one == "any")
+        headers
+            .get(REPEAT_HEADER)
+            .is_some_and(|value| value == "any")
     }
 
-    /// The work for a runner; it arrived at `arrived`.
+    /// The work for a runner, for a request that arrived at `arrived`.
     #[must_use]
     pub fn work(&self, arrived: Timestamp) -> Work {
         Work {
@@ -183,14 +185,18 @@
     if !may_use(&document, tenant) {
         return Err(unknown());
     }
-    let known = |adapter: &AdapterName| document.adapters.iter().any(|one| one.name == *adapter);
-    if adapter.as_ref().is_some_and(|adapter| !known(adapter)) {
+    let is_declared =
+        |adapter: &AdapterName| document.adapters.iter().any(|one| one.name == *adapter);
+    if adapter
+        .as_ref()
+        .is_some_and(|adapter| !is_declared(adapter))
+    {
         return Err(unknown());
     }
     Ok((document, adapter))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -201,7 +207,7 @@
 }
 
 fn class(headers: &HeaderMap) -> Result<PriorityClass, Refusal> {
-    let Some(text) = text(headers, CLASS_HEADER)? else {
+    let Some(text) = header_text(headers, CLASS_HEADER)? else {
         return Ok(PriorityClass::default());
     };
     PriorityClass::parse(text).ok_or_else(|| {
@@ -216,7 +222,7 @@
     document: &DeploymentDocument,
     class: PriorityClass,
 ) -> Result<Millis, Refusal> {
-    let Some(text) = text(headers, DEADLINE_HEADER)? else {
+    let Some(text) = header_text(headers, DEADLINE_HEADER)? else {
         return Ok(document.limits.of(class).deadline_ms);
     };
     let millis = text.parse::<u64>().map_err(|_| {
@@ -229,7 +235,7 @@
 
 fn repeat(headers: &HeaderMap) -> Result<RepeatRule, Refusal> {
     let key = CallerRequest::key(headers)?;
-    match text(headers, REPEAT_HEADER)? {
+    match header_text(headers, REPEAT_HEADER)? {
         None | Some("any") => Ok(key.map_or(RepeatRule::Any, RepeatRule::Never)),
         Some("never") => {
             let key = key.ok_or_else(|| {
@@ -240,8 +246,8 @@
             Ok(RepeatRule::Never(key))
         }
         Some(other) => {
-            let problem = format!("{REPEAT_HEADER} is `{other}`; allowed: any, never");
-            Err(invalid(problem))
+            let message = format!("{REPEAT_HEADER} is `{other}`; allowed: any, never");
+            Err(invalid(message))
         }
     }
 }
--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration.rs
@@ -1,8 +1,9 @@
-//! What the feed has told: configuration, replicas, runners and routers.
+//! State received from the feed: configuration, replicas, runners and routers.
 //!
-//! Invariants: the revision in force never goes down within a process's life;
-//! an update in parts comes into force as a whole; the view counts as synced
-//! only once it held a revision that a quorum had confirmed shortly before.
+//! Invariants: the revision in force never decreases while the process runs; an
+//! update that arrives in parts is applied atomically; the view counts as synced
+//! only after its revision has reached one that a quorum had confirmed shortly
+//! before.
 
 use courseshunt_state::{StoredDeployment, TenantDocument};
 use courseshunt_types::{
@@ -15,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard, RwLockWriteGuard};
 
-/// See the module.
+/// Thread-safe view of the state received from the feed.
 #[derive(Debug, Default)]
 pub struct ConfigurationView {
     inner: RwLock<Inner>,
@@ -26,9 +27,9 @@
     revision: Revision,
     deployments: BTreeMap<DeploymentName, Arc<DeploymentDocument>>,
     tenants: BTreeMap<Digest, TenantName>,
-    /// As fed, for other routers.
+    /// Documents as received, kept to relay them to other routers.
     tenant_documents: Vec<TenantDocument>,
-    /// Parts of an update whose last part has not come yet.
+    /// Received parts of an update whose last part is still missing.
     parts: Vec<ConfigurationUpdate>,
     placement: LogIndex,
     runners: BTreeMap<RunnerId, RunnerEndpoint>,
@@ -38,17 +39,17 @@
     synced: bool,
 }
 
-/// The newest revision at a moment, as a quorum confirmed.
+/// The newest revision at a point in time, as confirmed by a quorum.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConfirmedRevision {
-    /// The moment, on this process's clock.
+    /// Time of the confirmation, on this process's clock.
     pub at: Timestamp,
-    /// The revision.
+    /// The confirmed revision.
     pub revision: Revision,
 }
 
 impl Inner {
-    fn take(&mut self, update: ConfigurationUpdate) {
+    fn apply(&mut self, update: ConfigurationUpdate) {
         if update.full {
             self.deployments.clear();
         }
@@ -60,13 +61,13 @@
             self.deployments.insert(document.name.clone(), document);
         }
         if let Some(tenants) = update.tenants {
-            self.tenants = tokens(&tenants);
+            self.tenants = tenants_by_token(&tenants);
             self.tenant_documents = tenants;
         }
         self.revision = update.revision;
     }
 
-    fn judge_synced(&mut self) {
+    fn update_synced(&mut self) {
         let confirmed = self.confirmed.map(|confirmed| confirmed.revision);
         self.synced |= confirmed.is_some_and(|revision| self.revision >= revision);
     }
@@ -81,17 +82,22 @@
         self.inner.write().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A new connection begins; parts of an unfinished update are dropped.
+    /// Starts a new feed connection; drops the parts of an incomplete update.
     pub fn begin_feed(&self) {
         self.write().parts.clear();
     }
 
-    /// Takes an update in, unless it is older than what is in force. Returns
-    /// the revision when one came into force.
+    /// Applies an update unless it is older than the revision in force. Returns
+    /// the new revision if the update was applied, `None` if it was ignored or
+    /// more parts are to follow.
     pub fn apply_configuration(&self, update: ConfigurationUpdate) -> Option<Revision> {
         let mut inner = self.write();
         if update.revision < inner.revision {
-            log::warn!("router: an older revision {} was ignored", update.revision);
+            log::warn!(
+                "router: ignored update to revision {}, older than {} in force",
+                update.revision,
+                inner.revision
+            );
             return None;
         }
         let more = update.more;
@@ -100,13 +106,13 @@
             return None;
         }
         for part in std::mem::take(&mut inner.parts) {
-            inner.take(part);
+            inner.apply(part);
         }
-        inner.judge_synced();
+        inner.update_synced();
         Some(inner.revision)
     }
 
-    /// Takes replicas and runners in, unless they are older.
+    /// Applies an update of replicas and runners unless it is older than the last.
     pub fn apply_placement(&self, update: PlacementUpdate) {
         let mut inner = self.write();
         if update.sequence < inner.placement {
@@ -125,26 +131,26 @@
         }
     }
 
-    /// Takes the live routers in.
+    /// Replaces the list of live routers.
     pub fn apply_fleet(&self, update: FleetUpdate) {
         self.write().routers = update.routers;
     }
 
-    /// Notes that a quorum confirmed `revision` as the newest, shortly before.
+    /// Records that at time `at` a quorum confirmed `revision` as the newest.
     pub fn confirm(&self, at: Timestamp, revision: Revision) {
         let mut inner = self.write();
         inner.confirmed = Some(ConfirmedRevision { at, revision });
-        inner.judge_synced();
+        inner.update_synced();
     }
 
-    /// What a quorum last confirmed.
+    /// The last confirmation by a quorum.
     #[must_use]
     pub fn confirmation(&self) -> Option<ConfirmedRevision> {
         self.read().confirmed
     }
 
-    /// The whole configuration for a router that has `revision`; `None` when
-    /// that is as new.
+    /// The complete configuration for a router that has `revision`; `None` if
+    /// that router is up to date.
     #[must_use]
     pub fn update_after(&self, revision: Revision) -> Option<ConfigurationUpdate> {
         let inner = self.read();
@@ -167,63 +173,63 @@
         })
     }
 
-    /// Whether a confirmed configuration is in force.
+    /// Whether the configuration has reached a confirmed revision.
     #[must_use]
     pub fn is_synced(&self) -> bool {
         self.read().synced
     }
 
-    /// State of the placement.
+    /// Log index of the last placement update.
     #[must_use]
     pub fn placement(&self) -> LogIndex {
         self.read().placement
     }
 
-    /// The revision in force.
+    /// The configuration revision in force.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.read().revision
     }
 
-    /// The document of a deployment.
+    /// The document of a deployment; `None` if the deployment does not exist.
     #[must_use]
     pub fn deployment(&self, name: &DeploymentName) -> Option<Arc<DeploymentDocument>> {
         self.read().deployments.get(name).cloned()
     }
 
-    /// All documents.
+    /// The documents of all deployments, in order of their names.
     #[must_use]
     pub fn deployments(&self) -> Vec<Arc<DeploymentDocument>> {
         self.read().deployments.values().cloned().collect()
     }
 
-    /// The tenant that a bearer token belongs to.
+    /// The tenant that a bearer token belongs to; `None` if no tenant has it.
     #[must_use]
     pub fn tenant_of(&self, token: &str) -> Option<TenantName> {
         let digest = Digest::of(token.as_bytes());
         self.read().tenants.get(&digest).cloned()
     }
 
-    /// A runner.
+    /// The endpoint of a runner; `None` if the runner is not in the placement.
     #[must_use]
     pub fn runner(&self, runner: &RunnerId) -> Option<RunnerEndpoint> {
         self.read().runners.get(runner).cloned()
     }
 
-    /// Replicas of a deployment.
+    /// Ready and loading replicas of a deployment.
     #[must_use]
     pub fn replicas(&self, name: &DeploymentName) -> Option<DeploymentReplicas> {
         self.read().replicas.get(name).cloned()
     }
 
-    /// The live routers.
+    /// The live routers, as last received.
     #[must_use]
     pub fn routers(&self) -> Vec<RouterEndpoint> {
         self.read().routers.clone()
     }
 }
 
-fn tokens(tenants: &[TenantDocument]) -> BTreeMap<Digest, TenantName> {
+fn tenants_by_token(tenants: &[TenantDocument]) -> BTreeMap<Digest, TenantName> {
     let pairs = tenants.iter().flat_map(|tenant| {
         let digests = tenant.token_digests.iter();
         digests.map(|digest| (*digest, tenant.name.clone()))
--- a/crates/router/src/control/client.rs
+++ b/crates/router/src/control/client.rs
@@ -1,4 +1,4 @@
-//! What the link needs of the router that it serves.
+//! Settings of a control link, and the interface between a link and its router.
 
 use crate::RouterContext;
 use crate::configuration::ConfigurationView;
@@ -10,38 +10,38 @@
 use courseshunt_wire::message::QueuedJob;
 use std::net::{IpAddr, SocketAddr};
 
-/// Addresses under which this router serves.
+/// Addresses at which this router can be reached.
 #[derive(Debug, Clone, Copy)]
 pub struct Endpoints {
-    /// For callers.
+    /// Address of the HTTP API for callers.
     pub http_address: SocketAddr,
-    /// For other processes.
+    /// Address of the wire protocol for other processes.
     pub wire_address: SocketAddr,
 }
 
-/// Who the link speaks for, and to whom.
+/// Identity of the router and addresses of the controllers.
 #[derive(Debug, Clone)]
 pub struct LinkSettings {
-    /// The router.
+    /// Id of the router.
     pub router: RouterId,
-    /// Its incarnation.
+    /// Incarnation of the router.
     pub incarnation: Incarnation,
-    /// Its zone.
+    /// Zone of the router.
     pub zone: Zone,
-    /// Where it serves.
+    /// Addresses that the router announces.
     pub endpoints: Endpoints,
-    /// Wire addresses of controllers; one is used, the others stand by.
+    /// Wire addresses of the controllers; one is connected, the others are spares.
     pub controllers: Vec<SocketAddr>,
-    /// IP number that connections come from; `None` lets the system choose.
+    /// Local IP address for connections; `None` lets the system choose.
     pub source: Option<IpAddr>,
-    /// Key of the cluster.
+    /// Key that authenticates members of the cluster.
     pub key: ClusterKey,
-    /// Clock of the process.
+    /// Clock of this process.
     pub clock: MonotonicClock,
 }
 
 impl LinkSettings {
-    /// Settings of a router's own link.
+    /// Link settings from the settings of a router.
     #[must_use]
     pub fn of_router(
         settings: &RouterSettings,
@@ -63,30 +63,30 @@
     }
 }
 
-/// The router behind a link: a real one, or a hollow one in the laboratory.
+/// The router behind a link: a real one, or a simulated one in load tests.
 pub trait LinkClient: Send + Sync {
-    /// Takes the feed in.
+    /// The view that the link applies feed updates to.
     fn view(&self) -> &ConfigurationView;
 
-    /// Told after each change of documents, replicas or routers.
+    /// Called after each change of documents, replicas or routers.
     fn view_changed(&self);
 
-    /// Waits until demand changed in a way that controllers must know at once.
+    /// Waits until demand has changed in a way that is reported without delay.
     fn demand_changed(&self) -> impl Future<Output = ()> + Send;
 
-    /// Demand since the last call.
+    /// Returns the demand since the last call.
     fn demand(&self) -> impl Future<Output = Vec<DemandReport>> + Send;
 
-    /// Told which queued jobs to execute.
+    /// Called with the queued jobs assigned to this router.
     fn jobs_queued(&self, _jobs: Vec<QueuedJob>) {}
 
-    /// Told to stop as planned.
+    /// Called when an operator requests a planned stop.
     fn drain_requested(&self) {}
 
-    /// Noted when a controller was told that the router stops.
-    fn leaving_told(&self) {}
+    /// Called after a controller has been notified of the planned stop.
+    fn leaving_reported(&self) {}
 
-    /// Waits until the router stops as planned.
+    /// Waits until a planned stop begins.
     fn leaving(&self) -> impl Future<Output = ()> + Send {
         std::future::pending()
     }
@@ -114,12 +114,12 @@
     }
 
     fn drain_requested(&self) {
-        log::info!("router: an operator asks for a planned stop");
+        log::info!("router: planned stop requested by an operator");
         self.drain.cancel();
     }
 
-    fn leaving_told(&self) {
-        self.leaving_told.cancel();
+    fn leaving_reported(&self) {
+        self.leaving_reported.cancel();
     }
 
     async fn leaving(&self) {
--- a/crates/router/src/control/freshness.rs
+++ b/crates/router/src/control/freshness.rs
@@ -1,15 +1,17 @@
-//! How old a feed's confirmation by a quorum is. Pure.
+//! Tracks the age of a feed's last confirmation by a quorum; does no I/O.
 //!
-//! A controller that is cut off goes on answering, but its confirmations grow
-//! old; one that is silent sends none. Both ages count here alike.
+//! A controller that is partitioned from the quorum keeps answering, but the age
+//! of its confirmations increases; an unresponsive one sends none. Both cases
+//! increase the age that is tracked here.
 
 use courseshunt_types::{Millis, Timestamp};
 
-/// A feed whose last confirmation is older is left. With the time to notice
-/// and to connect, a router turns to another controller within 5 seconds.
+/// Maximum age of the last confirmation, after which the router disconnects.
+/// Including the time for detection and connecting, a router switches to another
+/// controller within 5 seconds.
 pub const STALE_LIMIT: Millis = Millis(3_000);
 
-/// See the module.
+/// Time of a feed's last confirmation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FeedFreshness {
     confirmed_at: Timestamp,
@@ -17,7 +19,8 @@
 }
 
 impl FeedFreshness {
-    /// A connection made at `now`; it may be unconfirmed for [`STALE_LIMIT`].
+    /// State of a connection established at `now`; it may stay unconfirmed for
+    /// [`STALE_LIMIT`].
     #[must_use]
     pub fn connected(now: Timestamp) -> Self {
         Self {
@@ -26,29 +29,29 @@
         }
     }
 
-    /// Takes a confirmation in that was `age` old when it was sent. Returns
+    /// Records a confirmation that had the given `age` when it was sent. Returns
     /// whether it is fresh.
     pub fn confirmed(&mut self, age: Millis, now: Timestamp) -> bool {
-        let at = now - age;
-        self.confirmed_at = self.confirmed_at.max(at);
+        let confirmed_at = now - age;
+        self.confirmed_at = self.confirmed_at.max(confirmed_at);
         let fresh = age <= STALE_LIMIT;
         self.was_confirmed |= fresh;
         fresh
     }
 
-    /// Whether any confirmation was fresh.
+    /// Whether any confirmation of this connection was fresh.
     #[must_use]
     pub fn was_confirmed(&self) -> bool {
         self.was_confirmed
     }
 
-    /// Age of the last confirmation.
+    /// Age of the last confirmation at `now`.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Millis {
         now.since(self.confirmed_at)
     }
 
-    /// Whether the feed is to be left.
+    /// Whether the last confirmation is older than [`STALE_LIMIT`].
     #[must_use]
     pub fn is_stale(&self, now: Timestamp) -> bool {
         self.age(now) > STALE_LIMIT
--- a/crates/router/src/control/ledger.rs
+++ b/crates/router/src/control/ledger.rs
@@ -1,4 +1,4 @@
-//! Commands for the replicated ledger.
+//! Client of the replicated ledger.
 //!
 //! Invariant: a command that may have reached a controller is never reported
 //! as not committed.
@@ -11,17 +11,18 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Calls that wait for the link.
+/// Capacity of the queue of calls to the link.
 const CALL_QUEUE: usize = 4096;
-/// Longest time in which [`LedgerClient::commit`] finds a reply.
+/// Timeout of [`LedgerClient::commit`].
 pub const COMMIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Whether a call may have been committed; shared by the caller and the link.
+/// Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct Doubt(Arc<AtomicBool>);
+pub struct InDoubtFlag(Arc<AtomicBool>);
 
-impl Doubt {
-    /// Notes whether the call may have been committed.
+impl InDoubtFlag {
+    /// Sets whether the call may have been committed.
     pub(super) fn set(&self, in_doubt: bool) {
         self.0.store(in_doubt, Ordering::SeqCst);
     }
@@ -33,30 +34,30 @@
     }
 }
 
-/// One command under way.
+/// A command in flight.
 #[derive(Debug)]
 pub struct LedgerCall {
     /// The group that holds the key.
     pub group: GroupId,
-    /// The command.
+    /// Command to commit.
     pub command: Command,
-    /// Receives the result. When its other end is gone, nobody waits any more
-    /// and the call is not sent again.
+    /// Receives the result. When the other end is dropped, the caller has stopped
+    /// waiting and the call is not sent again.
     pub reply: oneshot::Sender<LedgerResult>,
     /// Set by the link before each send.
-    pub doubt: Doubt,
+    pub in_doubt: InDoubtFlag,
 }
 
-/// Calls for the link.
+/// Receiving end of the calls, used by the link.
 pub type LedgerCalls = mpsc::Receiver<LedgerCall>;
 
-/// Why a command has no reply.
+/// Why a command got no reply.
 #[derive(Debug, Clone, PartialEq, Eq, snafu::Snafu)]
 pub enum LedgerError {
-    /// Surely not committed, and never will be.
+    /// The command was not committed and never will be.
     #[snafu(display("ledger: not available"))]
     NotCommitted,
-    /// Perhaps committed.
+    /// The command may have been committed.
     #[snafu(display("ledger: no reply in time, the command may be committed"))]
     Undecided,
 }
@@ -67,7 +68,7 @@
     calls: mpsc::Sender<LedgerCall>,
 }
 
-/// A client and the calls that the link carries.
+/// Creates a client and the receiving end for the link.
 #[must_use]
 pub fn ledger_channel() -> (LedgerClient, LedgerCalls) {
     let (calls, receiver) = mpsc::channel(CALL_QUEUE);
@@ -83,8 +84,8 @@
         self.commit_within(command, COMMIT_TIMEOUT).await
     }
 
-    /// Commits a command in group 0. Until `limit` has passed, the link sends it
-    /// again over each new connection, under the same session and number.
+    /// Commits a command in group 0 within `limit`. Until then, the link resends it
+    /// over each new connection under the same session and sequence number.
     ///
     /// # Errors
     /// See [`LedgerError`].
@@ -94,33 +95,34 @@
         limit: Duration,
     ) -> Result<CommandReply, LedgerError> {
         let (reply, mut received) = oneshot::channel();
-        let doubt = Doubt::default();
+        let in_doubt = InDoubtFlag::default();
         let call = LedgerCall {
             group: GroupId(0),
             command,
             reply,
-            doubt: doubt.clone(),
+            in_doubt: in_doubt.clone(),
         };
         self.calls
             .try_send(call)
             .map_err(|_| LedgerError::NotCommitted)?;
         let result = match tokio::time::timeout(limit, &mut received).await {
             Ok(received) => received.ok(),
-            Err(_) => last_look(&mut received),
+            Err(_) => close_and_take(&mut received),
         };
         match result {
             Some(LedgerResult::Committed(reply)) => Ok(reply),
             Some(LedgerResult::NotLeader { .. }) => Err(LedgerError::NotCommitted),
             Some(LedgerResult::Undecided) => Err(LedgerError::Undecided),
-            None if doubt.is_set() => Err(LedgerError::Undecided),
+            None if in_doubt.is_set() => Err(LedgerError::Undecided),
             None => Err(LedgerError::NotCommitted),
         }
     }
 }
 
-/// Closes the channel, so that the link sends no more, then takes a result that
-/// came in the meantime. Only after the closing may the doubt be read.
-fn last_look(received: &mut oneshot::Receiver<LedgerResult>) -> Option<LedgerResult> {
+/// Closes the channel, so that the link stops sending the call, then returns a
+/// result that arrived in the meantime. The in-doubt flag may be read only after
+/// the channel is closed.
+fn close_and_take(received: &mut oneshot::Receiver<LedgerResult>) -> Option<LedgerResult> {
     received.close();
     received.try_recv().ok()
 }
--- a/crates/router/src/control/link.rs
+++ b/crates/router/src/control/link.rs
@@ -1,7 +1,7 @@
-//! Keeps a connection to one controller, the others standing by.
+//! Maintains a connection to one controller and fails over to the others.
 //!
-//! Invariant: a controller whose feed is not confirmed by a quorum is left
-//! within seconds, also when it is silent.
+//! Invariant: the link disconnects within seconds from a controller whose feed is
+//! not confirmed by a quorum, also from one that sends nothing.
 
 use super::client::{LinkClient, LinkSettings};
 use super::freshness::{FeedFreshness, STALE_LIMIT};
@@ -19,15 +19,15 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Shortest and longest pause before the next controller is tried, in
-/// milliseconds; spread, so that routers don't come all at once.
+/// Range of the pause before the next connection attempt, in milliseconds. It is
+/// random, so that routers don't all reconnect at once.
 const RECONNECT_PAUSE_MILLIS: std::ops::Range<u64> = 100..300;
-/// Time between demand reports when no event asks for one; each tells the
-/// controller, too, that this router lives.
+/// Interval of demand reports without an event that triggers one. The revision
+/// that is sent with each also serves as a heartbeat of this router.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between looks for ledger calls that a controller did not commit.
+/// Interval of checks for ledger calls that have to be sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between looks at the age of the confirmation.
+/// Interval of checks of the confirmation's age.
 const FRESHNESS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Why a connection ended.
@@ -36,29 +36,29 @@
     /// The connection failed.
     #[snafu(display("{source}"), context(false))]
     Wire {
-        /// The cause.
+        /// The error of the connection.
         source: WireError,
     },
-    /// No quorum confirmed the feed for too long.
+    /// The last confirmation by a quorum is older than [`STALE_LIMIT`].
     #[snafu(display(
         "follow the feed of {controller}: no quorum has confirmed it for {} ms, more than {} ms",
         age.0,
         STALE_LIMIT.0
     ))]
     Stale {
-        /// The controller.
+        /// Address of the controller.
         controller: SocketAddr,
         /// Age of the last confirmation.
         age: Millis,
     },
 }
 
-/// Connects to one controller after the other until cancelled.
+/// Connects to the controllers in rotation until cancelled.
 pub async fn run<C: LinkClient>(client: C, settings: LinkSettings, mut calls: LedgerCalls) {
     let identity = PeerIdentity::Router(settings.router.clone(), settings.incarnation);
     let pending = Mutex::new(PendingCalls::default());
     let first = first_controller(&settings);
-    let mut unconfirmed = 0;
+    let mut unconfirmed_connections = 0;
     for address in settings.controllers.iter().cycle().skip(first) {
         match connect_from(settings.source, *address, &settings.key, &identity).await {
             Ok(connection) => {
@@ -73,33 +73,37 @@
                 let ended = link.serve(connection, &mut calls).await;
                 link.pending().connection_lost();
                 if link.freshness().was_confirmed() {
-                    unconfirmed = 0;
+                    unconfirmed_connections = 0;
                 }
                 match ended {
-                    Ok(()) => log::info!("control: the controller at {address} closed"),
-                    Err(error) => log::warn!("control: {error}"),
+                    Ok(()) => {
+                        log::info!("control: the controller at {address} closed the connection")
+                    }
+                    Err(error) => log::warn!("control: connection to {address} ended: {error}"),
                 }
             }
-            Err(error) => log::warn!("control: {error}"),
+            Err(error) => log::warn!("control: connecting to {address} failed: {error}"),
         }
-        unconfirmed += 1;
-        if unconfirmed % settings.controllers.len() == 0 {
-            ask_routers(&client, &settings).await;
+        unconfirmed_connections += 1;
+        if unconfirmed_connections % settings.controllers.len() == 0 {
+            fetch_from_routers(&client, &settings).await;
         }
         let pause = rand::rng().random_range(RECONNECT_PAUSE_MILLIS);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
 }
 
-/// No controller has a confirmed feed: perhaps another router has one.
-async fn ask_routers<C: LinkClient>(client: &C, settings: &LinkSettings) {
+/// Requests a newer revision from other routers, since no controller has provided a
+/// confirmed feed.
+async fn fetch_from_routers<C: LinkClient>(client: &C, settings: &LinkSettings) {
     if let Some(revision) = relay::fetch(client.view(), settings).await {
-        log::info!("router: revision {revision} is in force, as fed by another router");
+        log::info!("router: revision {revision} is in force, relayed by another router");
         client.view_changed();
     }
 }
 
-/// Routers with one list of controllers begin at different ones.
+/// Index of the first controller to connect to. It depends on the router's id, so
+/// that routers with the same list are spread over the controllers.
 fn first_controller(settings: &LinkSettings) -> usize {
     let hash = xxhash_rust::xxh3::xxh3_64(settings.router.as_str().as_bytes());
     let count = settings.controllers.len().max(1) as u64;
@@ -112,7 +116,7 @@
     controller: SocketAddr,
     pending: &'a Mutex<PendingCalls>,
     freshness: Mutex<FeedFreshness>,
-    /// A revision came into force.
+    /// Notified when a new revision is in force.
     applied: Notify,
 }
 
@@ -161,12 +165,12 @@
 
     async fn receive(&self, mut receiver: Receiver) -> Result<(), LinkError> {
         while let Some(message) = receiver.receive().await? {
-            self.take(message);
+            self.handle(message);
         }
         Ok(())
     }
 
-    fn take(&self, message: Message) {
+    fn handle(&self, message: Message) {
         let view = self.client.view();
         match message {
             Message::Configuration(update) => {
@@ -188,7 +192,10 @@
             Message::Jobs { jobs } => self.client.jobs_queued(jobs),
             Message::Drain => self.client.drain_requested(),
             Message::LedgerReply { call, result } => self.pending().answer(call, result),
-            other => log::warn!("control: unexpected message {other:?}"),
+            other => log::warn!(
+                "control: {} sent an unexpected message: {other:?}",
+                self.controller
+            ),
         }
     }
 
@@ -213,7 +220,7 @@
     }
 
     async fn send(&self, mut sender: Sender, calls: &mut LedgerCalls) -> Result<(), LinkError> {
-        let mut told_leaving = false;
+        let mut leaving_reported = false;
         let mut report = tokio::time::interval(REPORT_INTERVAL);
         let mut resend = tokio::time::interval(RESEND_INTERVAL);
         loop {
@@ -230,10 +237,10 @@
                     self.report(&mut sender).await?;
                 }
                 _ = resend.tick() => self.send_due(&mut sender).await?,
-                () = self.client.leaving(), if !told_leaving => {
-                    told_leaving = true;
+                () = self.client.leaving(), if !leaving_reported => {
+                    leaving_reported = true;
                     sender.send(&Message::Leaving).await?;
-                    self.client.leaving_told();
+                    self.client.leaving_reported();
                 }
             }
         }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! The link to the controllers: feed in, demand and ledger commands out.
+//! The connection to the controllers: receives the feed, sends demand reports and
+//! ledger commands.
 
 mod client;
 mod freshness;
@@ -10,7 +11,7 @@
 pub use client::{Endpoints, LinkClient, LinkSettings};
 pub use freshness::{FeedFreshness, STALE_LIMIT};
 pub use ledger::{
-    COMMIT_TIMEOUT, Doubt, LedgerCall, LedgerCalls, LedgerClient, LedgerError, ledger_channel,
+    COMMIT_TIMEOUT, InDoubtFlag, LedgerCall, LedgerCalls, LedgerClient, LedgerError, ledger_channel,
 };
 pub use link::run;
 pub use pending::PendingCalls;
--- a/crates/router/src/control/pending.rs
+++ b/crates/router/src/control/pending.rs
@@ -1,10 +1,10 @@
-//! Calls to the ledger that have no reply yet. Pure.
+//! Ledger calls without a reply; does no I/O.
 //!
-//! Invariants: a call keeps its number over all connections, so that the
-//! ledger's session gives a resend the first answer; a call counts as not
-//! committed only when no send of it is left without a refusal.
+//! Invariants: a call keeps its sequence number over all connections, so that the
+//! ledger's session deduplicates a resend and returns the first reply; a call
+//! counts as not committed only if each of its sends was refused.
 
-use super::ledger::{Doubt, LedgerCall};
+use super::ledger::{InDoubtFlag, LedgerCall};
 use courseshunt_state::Command;
 use courseshunt_types::{ClientSequence, GroupId};
 use courseshunt_wire::Message;
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// See the module.
+/// Calls without a reply, by number.
 #[derive(Debug, Default)]
 pub struct PendingCalls {
     calls: BTreeMap<CallId, PendingCall>,
@@ -24,39 +24,40 @@
     group: GroupId,
     command: Command,
     reply: oneshot::Sender<LedgerResult>,
-    doubt: Doubt,
-    /// Sent over the connection of now, without an answer so far.
-    under_way: bool,
-    /// An earlier send may have been committed.
-    earlier_doubt: bool,
+    in_doubt: InDoubtFlag,
+    /// Sent over the current connection and not answered yet.
+    in_flight: bool,
+    /// A previous send may have been committed.
+    earlier_in_doubt: bool,
 }
 
 impl PendingCalls {
-    /// Takes a call in and gives it its number.
+    /// Adds a call and assigns its sequence number.
     pub fn add(&mut self, call: LedgerCall) {
         self.last_number += 1;
         let pending = PendingCall {
             group: call.group,
             command: call.command,
             reply: call.reply,
-            doubt: call.doubt,
-            under_way: false,
-            earlier_doubt: false,
+            in_doubt: call.in_doubt,
+            in_flight: false,
+            earlier_in_doubt: false,
         };
         self.calls.insert(CallId(self.last_number), pending);
     }
 
-    /// Messages of all calls that are to be sent now, oldest first.
+    /// Returns the messages of all calls that have to be sent, oldest first, and
+    /// marks them as in flight.
     pub fn due(&mut self) -> Vec<Message> {
         self.calls
-            .retain(|_, call| call.under_way || call.is_wanted());
+            .retain(|_, call| call.in_flight || call.has_caller());
         let lowest = self.calls.keys().next().copied();
         let lowest = lowest.unwrap_or(CallId(self.last_number));
-        let idle = self.calls.iter_mut().filter(|(_, call)| !call.under_way);
-        idle.map(|(id, call)| call.message(*id, lowest)).collect()
+        let unsent = self.calls.iter_mut().filter(|(_, call)| !call.in_flight);
+        unsent.map(|(id, call)| call.message(*id, lowest)).collect()
     }
 
-    /// Takes an answer in. Refused and undecided calls become due again.
+    /// Handles a reply. Refused and undecided calls become due again.
     pub fn answer(&mut self, id: CallId, result: LedgerResult) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -68,26 +69,27 @@
                 }
             }
             LedgerResult::NotLeader { .. } => {
-                call.under_way = false;
-                call.doubt.set(call.earlier_doubt);
+                call.in_flight = false;
+                call.in_doubt.set(call.earlier_in_doubt);
             }
-            LedgerResult::Undecided => call.send_again_in_doubt(),
+            LedgerResult::Undecided => call.requeue_in_doubt(),
         }
     }
 
-    /// The connection is lost: every call under way becomes due, in doubt.
+    /// Handles the loss of the connection: every call in flight becomes due again
+    /// and is in doubt.
     pub fn connection_lost(&mut self) {
-        let under_way = self.calls.values_mut().filter(|call| call.under_way);
-        under_way.for_each(PendingCall::send_again_in_doubt);
+        let in_flight = self.calls.values_mut().filter(|call| call.in_flight);
+        in_flight.for_each(PendingCall::requeue_in_doubt);
     }
 
-    /// Calls without a reply.
+    /// Number of calls without a reply.
     #[must_use]
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether every call has its reply.
+    /// Whether no call is without a reply.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
@@ -95,24 +97,25 @@
 }
 
 impl PendingCall {
-    /// Whether somebody waits. The doubt is set first: a caller that gives up
-    /// in between either is seen here or sees the doubt.
-    fn is_wanted(&self) -> bool {
-        self.doubt.set(true);
-        let wanted = !self.reply.is_closed();
-        if !wanted {
-            self.doubt.set(self.earlier_doubt);
+    /// Whether the caller still waits. The in-doubt flag is set before the check: a
+    /// caller that stops waiting in between is either noticed here or reads the
+    /// flag as set.
+    fn has_caller(&self) -> bool {
+        self.in_doubt.set(true);
+        let has_caller = !self.reply.is_closed();
+        if !has_caller {
+            self.in_doubt.set(self.earlier_in_doubt);
         }
-        wanted
+        has_caller
     }
 
-    fn send_again_in_doubt(&mut self) {
-        self.under_way = false;
-        self.earlier_doubt = true;
+    fn requeue_in_doubt(&mut self) {
+        self.in_flight = false;
+        self.earlier_in_doubt = true;
     }
 
     fn message(&mut self, id: CallId, lowest: CallId) -> Message {
-        self.under_way = true;
+        self.in_flight = true;
         Message::Ledger {
             call: id,
             group: self.group,
--- a/crates/router/src/control/relay.rs
+++ b/crates/router/src/control/relay.rs
@@ -1,10 +1,10 @@
-//! Revisions from router to router, for a router that reaches no controller
-//! with a confirmed feed.
+//! Relays revisions between routers, for a router that reaches no controller with a
+//! confirmed feed.
 //!
-//! Invariant: only what a controller fed, and so a quorum committed, is passed
-//! on; a relayed confirmation carries the age that it has at the relaying
-//! router. A receiver treats both as it treats a controller's feed: never a
-//! lower revision, and synced only by a fresh confirmation.
+//! Invariant: only state received from a controller, and thus committed by a
+//! quorum, is relayed; a relayed confirmation carries the age that it has at the
+//! relaying router. The receiver handles both like a controller's feed: it never
+//! applies a lower revision, and only a fresh confirmation makes it synced.
 
 use super::client::LinkSettings;
 use super::freshness::STALE_LIMIT;
@@ -18,23 +18,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Routers that are asked in one round.
+/// Maximum number of routers that are contacted in one round.
 const PEERS_PER_ROUND: usize = 3;
-/// Longest exchange with one router.
+/// Timeout of the exchange with one router.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers other routers from this router's view; cheap to clone.
+/// Answers subscriptions of other routers from this router's view; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct RelaySource {
-    /// What the feed has told this router.
+    /// State that this router received from the feed.
     pub view: Arc<ConfigurationView>,
-    /// Clock of the process.
+    /// Clock of this process.
     pub clock: MonotonicClock,
 }
 
 impl RelaySource {
-    /// Messages for a router that has `revision`: the configuration if it is
-    /// newer, then the confirmation.
+    /// Messages for a router that has `revision`: the configuration if this router's
+    /// is newer, then the confirmation.
     #[must_use]
     pub fn answer(&self, revision: Revision) -> Vec<Message> {
         let mut messages = Vec::new();
@@ -56,33 +56,38 @@
     }
 }
 
-/// Asks a few of the known routers for a newer revision. Returns the revision
-/// that came into force, if one did.
+/// Requests a newer revision from up to [`PEERS_PER_ROUND`] other routers. Returns
+/// the new revision if one was applied.
 pub async fn fetch(view: &ConfigurationView, settings: &LinkSettings) -> Option<Revision> {
     let before = view.revision();
-    for address in peers(view, settings) {
-        let exchange = ask(view, settings, address);
+    for address in choose_peers(view, settings) {
+        let exchange = fetch_from(view, settings, address);
         match tokio::time::timeout(EXCHANGE_TIMEOUT, exchange).await {
             Ok(Ok(())) => break,
-            Ok(Err(error)) => log::warn!("relay: {error}"),
-            Err(_) => log::warn!("relay: {address} did not answer in time"),
+            Ok(Err(error)) => log::warn!("relay: fetching from {address} failed: {error}"),
+            Err(_) => log::warn!(
+                "relay: {address} did not answer within {} ms",
+                EXCHANGE_TIMEOUT.as_millis()
+            ),
         }
     }
     let after = view.revision();
     (after > before).then_some(after)
 }
 
-fn peers(view: &ConfigurationView, settings: &LinkSettings) -> Vec<SocketAddr> {
+fn choose_peers(view: &ConfigurationView, settings: &LinkSettings) -> Vec<SocketAddr> {
     let routers = view.routers();
-    let others = routers.iter().filter(|one| one.router != settings.router);
+    let others = routers
+        .iter()
+        .filter(|endpoint| endpoint.router != settings.router);
     let addresses: Vec<SocketAddr> = others
-        .filter_map(|one| one.wire_address.parse().ok())
+        .filter_map(|endpoint| endpoint.wire_address.parse().ok())
         .collect();
     let chosen = addresses.sample(&mut rand::rng(), PEERS_PER_ROUND);
     chosen.copied().collect()
 }
 
-async fn ask(
+async fn fetch_from(
     view: &ConfigurationView,
     settings: &LinkSettings,
     address: SocketAddr,
--- a/crates/router/src/dispatch/actor.rs
+++ b/crates/router/src/dispatch/actor.rs
@@ -19,50 +19,50 @@
 use std::time::Duration;
 use tokio::sync::{Notify, oneshot};
 
-/// Time between looks for deadlines that have passed.
+/// Interval of checks for expired tickets and grants.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Messages of the dispatcher.
+/// Messages to the dispatcher.
 #[derive(Debug)]
 pub enum DispatcherMessage {
-    /// Wait for a grant.
+    /// Queue a ticket until it is granted or refused.
     Offer {
-        /// The ticket.
+        /// Ticket of the request.
         ticket: Ticket,
         /// Receives the grant or refusal.
         reply: OfferReply,
     },
-    /// Take a ticket out.
+    /// Remove a waiting ticket.
     Cancel {
-        /// Its request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// A granted request is being sent.
+    /// The request of a grant is being sent.
     Started {
-        /// Its grant.
+        /// Id of the grant.
         grant: GrantId,
     },
-    /// A slot is free again.
+    /// The slot of a grant is returned.
     Returned {
-        /// Its grant.
+        /// Id of the grant.
         grant: GrantId,
-        /// How the attempt ended.
+        /// Result of the attempt.
         outcome: AttemptOutcome,
     },
-    /// Replicas, documents or the fleet changed.
+    /// Replicas, documents or the list of live routers changed.
     ViewChanged,
-    /// Something happened on a connection to another router.
+    /// An event on a connection to another router.
     Peer(PeerEvent),
-    /// Report the demand.
+    /// Report the demand since the last report.
     Report {
         /// Receives the reports.
         reply: oneshot::Sender<Vec<DemandReport>>,
     },
-    /// Hand the owned queues over: this router stops.
+    /// Hand the owned queues over, since this router is stopping.
     Stop,
-    /// Time passed.
+    /// Periodic check; its delivery delay measures the processing lag.
     Tick {
-        /// When this was sent.
+        /// Time at which the message was sent.
         sent: Timestamp,
     },
 }
@@ -72,15 +72,15 @@
 /// Arguments of the actor.
 #[derive(Debug)]
 pub struct Arguments {
-    /// Name of this router.
+    /// Id of this router.
     pub router: RouterId,
-    /// Who this router is to others.
+    /// Identity of this router on connections.
     pub identity: PeerIdentity,
-    /// IP number that dialled connections come from.
+    /// Local IP address for outgoing connections; `None` lets the system choose.
     pub source: Option<IpAddr>,
-    /// Key of the cluster.
+    /// Key that authenticates members of the cluster.
     pub key: ClusterKey,
-    /// What the feed has told.
+    /// State received from the feed.
     pub view: Arc<ConfigurationView>,
     /// Clock of this process.
     pub clock: MonotonicClock,
@@ -115,7 +115,7 @@
             },
             clock: arguments.clock,
             holder: Holder::new(arguments.router),
-            owned: OwnedQueues::new(view.clone(), SlotShare::Whole),
+            owned: OwnedQueues::new(view.clone(), SlotShare::Full),
             fallback: OwnedQueues::new(view.clone(), SlotShare::Bounded),
             view,
             links,
@@ -140,7 +140,7 @@
     }
 }
 
-/// Starts the actor.
+/// Starts the actor and returns its handle.
 pub async fn spawn(arguments: Arguments) -> Result<DispatcherHandle, RouterError> {
     let demand_changed = Arc::new(Notify::new());
     let snapshot = SharedSnapshot::default();
@@ -148,7 +148,7 @@
     let arguments = (arguments, demand_changed.clone(), snapshot.clone());
     let spawned = Actor::spawn(None, Dispatcher, arguments).await;
     let (actor, _) = spawned.map_err(|error| RouterError::Actor {
-        part: "dispatcher",
+        component: "dispatcher",
         message: format!("{router}: {error}"),
     })?;
     Ok(DispatcherHandle {
--- a/crates/router/src/dispatch/exchange.rs
+++ b/crates/router/src/dispatch/exchange.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher does with messages of other routers.
+//! Handles the events of connections to other routers in the dispatcher.
 
 use super::state::DispatcherState;
 use super::translate::call_of;
@@ -8,12 +8,12 @@
 use courseshunt_wire::Message;
 
 impl DispatcherState {
-    pub(super) fn peer(&mut self, event: PeerEvent, now: Timestamp) {
+    pub(super) fn handle_peer_event(&mut self, event: PeerEvent, now: Timestamp) {
         match event {
             PeerEvent::OwnerConnected { owner, sender } => {
                 if self.links.owner_connected(&owner, sender) {
                     let outputs = self.holder.connected(&owner, now);
-                    self.carry_out(outputs, now);
+                    self.apply_outputs(outputs, now);
                 }
             }
             PeerEvent::OwnerDisconnected { owner } => {
@@ -22,9 +22,11 @@
             }
             PeerEvent::OwnerUnreachable { owner } => {
                 let outputs = self.holder.unreachable(&owner, now);
-                self.carry_out(outputs, now);
+                self.apply_outputs(outputs, now);
+            }
+            PeerEvent::FromOwner { owner, message } => {
+                self.handle_owner_message(owner, message, now)
             }
-            PeerEvent::FromOwner { owner, message } => self.owner_message(owner, message, now),
             PeerEvent::HolderConnected {
                 holder,
                 session,
@@ -32,7 +34,7 @@
             } => {
                 let replies = self.owned.holder_lost(&holder, now);
                 self.links.holder_connected(holder, session, sender);
-                self.deliver(&self.own_site(), replies, now);
+                self.deliver_replies(&self.own_site(), replies, now);
             }
             PeerEvent::FromHolder {
                 holder,
@@ -40,19 +42,19 @@
                 message,
             } => {
                 if self.links.is_session(&holder, session) {
-                    self.holder_message(&holder, message, now);
+                    self.handle_holder_message(&holder, message, now);
                 }
             }
             PeerEvent::HolderLost { holder, session } => {
                 if self.links.holder_lost(&holder, session) {
                     let replies = self.owned.holder_lost(&holder, now);
-                    self.deliver(&self.own_site(), replies, now);
+                    self.deliver_replies(&self.own_site(), replies, now);
                 }
             }
         }
     }
 
-    fn owner_message(&mut self, owner: RouterId, message: Message, now: Timestamp) {
+    fn handle_owner_message(&mut self, owner: RouterId, message: Message, now: Timestamp) {
         let site = QueueSite::Owner(owner.clone());
         let outputs = match message {
             Message::Granted { queue, grant, .. } => self.holder.granted(site, queue, grant, now),
@@ -63,10 +65,10 @@
                 return;
             }
         };
-        self.carry_out(outputs, now);
+        self.apply_outputs(outputs, now);
     }
 
-    fn holder_message(&mut self, holder: &RouterId, message: Message, now: Timestamp) {
+    fn handle_holder_message(&mut self, holder: &RouterId, message: Message, now: Timestamp) {
         let Some((queue, call)) = call_of(message) else {
             log::warn!("dispatch: holder {holder} sent an unexpected message");
             return;
@@ -76,19 +78,20 @@
         {
             let requests = vec![ticket.request.clone()];
             let message = Message::NotOwner { queue, requests };
-            self.links.to_holder(holder, message);
+            self.links.send_to_holder(holder, message);
             return;
         }
-        let replies = self.own_call(holder, &queue, call, now);
-        self.deliver(&self.own_site(), replies, now);
+        let replies = self.call_own_queue(holder, &queue, call, now);
+        self.deliver_replies(&self.own_site(), replies, now);
     }
 
-    /// Lets others own the queues; what waits or runs here moves with them.
-    pub(super) fn hand_over(&mut self, now: Timestamp) {
+    /// Hands the owned queues over to other routers; waiting tickets and running
+    /// grants of this router move to the new owners.
+    pub(super) fn hand_over_queues(&mut self, now: Timestamp) {
         self.stopping = true;
-        let me = self.holder.members().me().clone();
-        let outputs = self.holder.leaving(&me, now);
-        self.carry_out(outputs, now);
-        self.links.to_all_holders(&Message::OwnerLeaving);
+        let own_id = self.holder.members().me().clone();
+        let outputs = self.holder.leaving(&own_id, now);
+        self.apply_outputs(outputs, now);
+        self.links.send_to_all_holders(&Message::OwnerLeaving);
     }
 }
--- a/crates/router/src/dispatch/handle.rs
+++ b/crates/router/src/dispatch/handle.rs
@@ -1,4 +1,4 @@
-//! The handle of the dispatcher.
+//! Handle of the dispatcher actor, and grants.
 
 use super::actor::DispatcherMessage;
 use super::snapshot::{DispatchSnapshot, SharedSnapshot};
@@ -18,19 +18,19 @@
     pub(super) snapshot: SharedSnapshot,
 }
 
-/// Leave to make one attempt. Dropping it gives the slot back.
+/// Permission to make one attempt. Dropping it returns the slot.
 ///
-/// The attempt's code calls [`Self::started`] when the request is about to be
-/// sent and [`Self::report`] when it knows how the attempt ended. A grant that
-/// is dropped before its start counts as unused; one that is dropped after it
-/// without a report counts as cancelled.
+/// The user calls [`Self::started`] before the request is sent and
+/// [`Self::report`] with the outcome of the attempt. A grant that is dropped
+/// before its start counts as unused; one that is dropped later without a report
+/// counts as cancelled.
 #[derive(Debug)]
 pub struct GrantedRequest {
-    /// The grant, with the runner and the slot's number.
+    /// The grant, with the runner and the number of the slot.
     pub grant: Grant,
-    /// `ip:port` of the runner.
+    /// `ip:port` of the runner; empty if the runner is unknown.
     pub address: String,
-    /// The request must be started before this moment.
+    /// Time before which the request must be started.
     pub expires: Timestamp,
     dispatcher: DispatcherHandle,
     outcome: AttemptOutcome,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Notes that the request is being sent to the runner.
+    /// Reports that the request is being sent to the runner.
     pub fn started(&mut self) {
         self.outcome = AttemptOutcome::Cancelled;
         self.dispatcher.cast(DispatcherMessage::Started {
@@ -60,7 +60,7 @@
         });
     }
 
-    /// Notes how the attempt ended.
+    /// Sets the outcome that is reported when the grant is dropped.
     pub fn report(&mut self, outcome: AttemptOutcome) {
         self.outcome = outcome;
     }
@@ -75,7 +75,7 @@
     }
 }
 
-/// Takes a waiting ticket out when the caller leaves.
+/// Removes a waiting ticket when the caller drops its future.
 struct CancelOnDrop<'a> {
     dispatcher: &'a DispatcherHandle,
     request: RequestId,
@@ -93,10 +93,10 @@
 }
 
 impl DispatcherHandle {
-    /// Waits for a grant. Dropping the future takes the ticket out.
+    /// Waits for a grant. Dropping the future removes the ticket.
     ///
     /// # Errors
-    /// The refusal for the caller; the request did not run.
+    /// The refusal for the caller, with the outcome not-run.
     pub async fn acquire(&self, ticket: Ticket) -> Result<GrantedRequest, Refusal> {
         let (reply, received) = oneshot::channel();
         let mut cancel = CancelOnDrop {
@@ -116,13 +116,13 @@
         self.cast(DispatcherMessage::Stop);
     }
 
-    /// Numbers for the metrics page.
+    /// Values of the last tick, for the metrics page.
     #[must_use]
     pub fn snapshot(&self) -> DispatchSnapshot {
         self.snapshot.get()
     }
 
-    /// What the connections of other routers need.
+    /// Parameters for the connections that other routers open.
     #[must_use]
     pub fn peer_context(&self, key: ClusterKey, identity: PeerIdentity) -> PeerContext {
         PeerContext {
@@ -133,17 +133,17 @@
         }
     }
 
-    /// Tells that replicas, documents or the fleet changed.
+    /// Notifies the dispatcher that replicas, documents or live routers changed.
     pub fn view_changed(&self) {
         self.cast(DispatcherMessage::ViewChanged);
     }
 
-    /// Waits until demand changed in a way that controllers must know at once.
+    /// Waits until demand has changed in a way that is reported without delay.
     pub async fn demand_changed(&self) {
         self.demand_changed.notified().await;
     }
 
-    /// Demand since the last call, for the queues whose demand changed.
+    /// Returns the demand since the last call, for deployments whose demand changed.
     pub async fn demand(&self) -> Vec<DemandReport> {
         let (reply, received) = oneshot::channel();
         self.cast(DispatcherMessage::Report { reply });
@@ -152,10 +152,10 @@
 
     pub(super) fn cast(&self, message: DispatcherMessage) {
         if self.actor.cast(message).is_err() {
-            log::debug!("dispatch: stopped");
+            log::debug!("dispatch: message dropped, the dispatcher has stopped");
         }
     }
 }
 
-/// Answer to an offer.
+/// Channel for the result of an offered ticket.
 pub(super) type OfferReply = oneshot::Sender<Result<GrantedRequest, Refusal>>;
--- a/crates/router/src/dispatch/mod.rs
+++ b/crates/router/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Tickets, waiting queues and grants.
+//! Dispatch of requests: tickets, waiting queues and grants.
 
 mod actor;
 mod exchange;
@@ -15,7 +15,7 @@
 
 use crate::error::RouterError;
 
-/// Starts the dispatcher.
+/// Starts the dispatcher and returns its handle.
 ///
 /// # Errors
 /// When the actor can't be started.
--- a/crates/router/src/dispatch/owned.rs
+++ b/crates/router/src/dispatch/owned.rs
@@ -1,5 +1,5 @@
-//! The waiting queues that this router serves, brought up to date from the
-//! configuration view.
+//! The waiting queues that this router serves. Their limits and replicas are
+//! updated from the configuration view.
 
 use crate::configuration::ConfigurationView;
 use courseshunt_balance::{Balancer, ChoiceMode, HealthCounts};
@@ -12,35 +12,36 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A fallback queue uses one of this many parts of each replica's slots.
-const FALLBACK_PARTS: u32 = 4;
-/// A queue without tickets and grants is forgotten after this time.
-const KEEP_IDLE: Millis = Millis::from_secs(60);
+/// A fallback queue uses the slots of each replica divided by this number.
+const FALLBACK_SLOT_DIVISOR: u32 = 4;
+/// Time after which a queue without tickets and grants is removed.
+const IDLE_RETENTION: Millis = Millis::from_secs(60);
 
-/// Which part of the slots the queues may use.
+/// Share of each replica's slots that the queues may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotShare {
-    /// All: the queues are this router's own.
-    Whole,
-    /// A part: the owners can't be reached and may use the same runners.
+    /// All slots: this router owns the queues.
+    Full,
+    /// A part of the slots: the owners can't be reached and may use the same
+    /// runners.
     Bounded,
 }
 
-/// What a queue answers to a holder.
+/// Reply of a queue to a holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnerReply {
-    /// Leave to send a request.
+    /// A request may be sent.
     Granted {
-        /// The queue.
+        /// Key of the queue.
         queue: QueueKey,
-        /// The grant.
+        /// The grant, with runner and slot.
         grant: Grant,
     },
     /// A ticket is refused.
     Refused {
-        /// The queue.
+        /// Key of the queue.
         queue: QueueKey,
-        /// The refusal.
+        /// The refused ticket and the reason.
         refusal: TicketRefusal,
     },
 }
@@ -50,38 +51,38 @@
     waiting: WaitingQueue,
     balancer: Balancer,
     used_at: Timestamp,
-    /// Rest of the first load, as last told.
+    /// Remaining time of the load that is ready first, as last reported.
     first_ready_in: Option<Millis>,
 }
 
 impl OwnedQueue {
-    /// Takes the rest of the first load in. What was told before has gone on
-    /// meanwhile.
-    fn note_loading(&mut self, first_ready_in: Option<Millis>, now: Timestamp) {
+    /// Updates the remaining time of the load that is ready first. An unchanged
+    /// value is the same report as before, so its ready time stays.
+    fn update_loading(&mut self, first_ready_in: Option<Millis>, now: Timestamp) {
         if first_ready_in != self.first_ready_in {
             self.first_ready_in = first_ready_in;
-            let ready_at = first_ready_in.map(|rest| now + rest);
+            let ready_at = first_ready_in.map(|remaining| now + remaining);
             self.waiting.set_first_ready_at(ready_at);
         }
     }
 }
 
-/// See the module.
+/// The waiting queues of one kind, by key.
 #[derive(Debug)]
 pub struct OwnedQueues {
     view: Arc<ConfigurationView>,
     share: SlotShare,
     queues: BTreeMap<QueueKey, OwnedQueue>,
-    /// Counters of queues that are forgotten.
-    ended: QueueTotals,
+    /// Counters of queues that have been removed.
+    removed: QueueTotals,
 }
 
-/// Counters of all queues together.
+/// Counters summed over all queues.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct QueueTotals {
-    /// Of the waiting queues.
+    /// Counters of the waiting queues.
     pub waiting: QueueCounts,
-    /// Of the runners' health.
+    /// Counters of the runners' health checks.
     pub health: HealthCounts,
 }
 
@@ -100,24 +101,24 @@
 }
 
 impl OwnedQueues {
-    /// No queues.
+    /// Creates an empty set of queues.
     #[must_use]
     pub fn new(view: Arc<ConfigurationView>, share: SlotShare) -> Self {
         Self {
             view,
             share,
             queues: BTreeMap::new(),
-            ended: QueueTotals::default(),
+            removed: QueueTotals::default(),
         }
     }
 
-    /// Number of queues.
+    /// Number of queues served.
     #[must_use]
     pub fn len(&self) -> usize {
         self.queues.len()
     }
 
-    /// Carries out a holder's call.
+    /// Performs a holder's call. Returns the replies that result from it.
     pub fn call(
         &mut self,
         holder: &RouterId,
@@ -148,7 +149,8 @@
         self.grant(key, now)
     }
 
-    /// Takes the end of an attempt in. That a runner drains or rests, all queues learn.
+    /// Records the end of an attempt. If the runner is draining or requested a
+    /// backoff, this is applied to all queues.
     fn returned(
         &mut self,
         key: &QueueKey,
@@ -170,10 +172,13 @@
         };
         match outcome {
             AttemptOutcome::NotAdmitted(AdmissionFailure::Draining) => {
-                log::info!("dispatch: runner {runner} drains and gets no new work");
+                log::info!("dispatch: runner {runner} is draining and gets no new work");
             }
-            AttemptOutcome::NotAdmitted(AdmissionFailure::Resting(rest)) => {
-                log::info!("dispatch: runner {runner} asks for rest of {} ms", rest.0);
+            AttemptOutcome::NotAdmitted(AdmissionFailure::Resting(backoff)) => {
+                log::info!(
+                    "dispatch: runner {runner} requested a backoff of {} ms",
+                    backoff.0
+                );
             }
             _ => {
                 queue.balancer.observe(&runner, outcome, now);
@@ -191,7 +196,7 @@
             let mut waiting = WaitingQueue::new(name, QueueLimits::default());
             waiting.slots_mut().number_from(GrantId(rand::random()));
             let mode = match self.share {
-                SlotShare::Whole => ChoiceMode::Exact,
+                SlotShare::Full => ChoiceMode::Exact,
                 SlotShare::Bounded => ChoiceMode::Lagged,
             };
             let queue = OwnedQueue {
@@ -209,8 +214,8 @@
         queue
     }
 
-    /// Brings a queue's limits and replicas up to date. A deployment that is
-    /// not known here (yet) has no replicas.
+    /// Updates a queue's limits and replicas from the view. A deployment that is
+    /// not in the view (yet) has no replicas.
     fn refresh(&mut self, key: &QueueKey, now: Timestamp) {
         let Some(queue) = self.queues.get_mut(key) else {
             return;
@@ -230,18 +235,18 @@
             Some(replicas) => (replicas.ready, replicas.loading),
             None => (Vec::new(), Vec::new()),
         };
-        let rests = loading.iter().map(|one| one.remaining);
-        // A load whose rest is not known is told as 0.
-        let known = loading.iter().all(|one| one.remaining > Millis(0));
-        let first_ready = rests.min().filter(|_| known);
-        queue.note_loading(first_ready, now);
+        let remaining_times = loading.iter().map(|load| load.remaining);
+        // A load whose remaining time is unknown is reported as 0.
+        let all_known = loading.iter().all(|load| load.remaining > Millis(0));
+        let first_ready = remaining_times.min().filter(|_| all_known);
+        queue.update_loading(first_ready, now);
         let usable = |runner: &RunnerId| {
-            let known = self.view.runner(runner);
-            known.is_some_and(|known| known.state == MachineState::Live)
+            let endpoint = self.view.runner(runner);
+            endpoint.is_some_and(|endpoint| endpoint.state == MachineState::Live)
         };
         let slots = match self.share {
-            SlotShare::Whole => document.slots_per_replica,
-            SlotShare::Bounded => document.slots_per_replica.div_ceil(FALLBACK_PARTS),
+            SlotShare::Full => document.slots_per_replica,
+            SlotShare::Bounded => document.slots_per_replica.div_ceil(FALLBACK_SLOT_DIVISOR),
         };
         let usable: Vec<RunnerId> = ready.into_iter().filter(usable).collect();
         queue.balancer.set_runners(&usable, now);
@@ -249,7 +254,7 @@
         queue.waiting.slots_mut().set_replicas(replicas);
     }
 
-    /// Takes changes of the view in.
+    /// Updates all queues after a change of the view.
     pub fn refresh_all(&mut self, now: Timestamp) -> Vec<OwnerReply> {
         let mut replies = Vec::new();
         for key in self.keys() {
@@ -267,8 +272,8 @@
         let Some(queue) = self.queues.get_mut(key) else {
             return Vec::new();
         };
-        let late = queue.waiting.expire(now).into_iter();
-        let mut replies: Vec<OwnerReply> = late.map(|refusal| refused(key, refusal)).collect();
+        let expired = queue.waiting.expire(now).into_iter();
+        let mut replies: Vec<OwnerReply> = expired.map(|refusal| refused(key, refusal)).collect();
         let grants = queue.waiting.grant_by(now, &mut queue.balancer).into_iter();
         replies.extend(grants.map(|grant| OwnerReply::Granted {
             queue: key.clone(),
@@ -277,49 +282,49 @@
         replies
     }
 
-    /// Refuses what is late, takes unused grants back and forgets idle queues.
+    /// Refuses expired tickets, revokes unused grants and removes idle queues.
     pub fn tick(&mut self, now: Timestamp) -> Vec<OwnerReply> {
         let mut replies = Vec::new();
         for key in self.keys() {
             if let Some(queue) = self.queues.get_mut(&key) {
-                let late = queue.waiting.expire(now).into_iter();
-                replies.extend(late.map(|refusal| refused(&key, refusal)));
+                let expired = queue.waiting.expire(now).into_iter();
+                replies.extend(expired.map(|refusal| refused(&key, refusal)));
             }
             replies.extend(self.grant(&key, now));
         }
-        self.forget_idle(now);
+        self.remove_idle(now);
         replies
     }
 
-    fn forget_idle(&mut self, now: Timestamp) {
-        let ended = &mut self.ended;
+    fn remove_idle(&mut self, now: Timestamp) {
+        let removed = &mut self.removed;
         self.queues.retain(|_, queue| {
-            let keep = !queue.waiting.is_idle() || now.since(queue.used_at) < KEEP_IDLE;
+            let keep = !queue.waiting.is_idle() || now.since(queue.used_at) < IDLE_RETENTION;
             if !keep {
-                ended.add(&QueueTotals::of(queue));
+                removed.add(&QueueTotals::of(queue));
             }
             keep
         });
     }
 
-    /// Counters since the start.
+    /// Counters since the start of the process.
     #[must_use]
     pub fn totals(&self) -> QueueTotals {
-        let mut totals = self.ended;
+        let mut totals = self.removed;
         for queue in self.queues.values() {
             totals.add(&QueueTotals::of(queue));
         }
         totals
     }
 
-    /// Runners that are ejected now, once for each queue.
+    /// Number of currently ejected runners, counted once for each queue.
     #[must_use]
     pub fn ejected(&self) -> usize {
         let queues = self.queues.values();
         queues.map(|queue| queue.balancer.ejected()).sum()
     }
 
-    /// Drops what a lost holder has here.
+    /// Removes the tickets and grants of a lost holder.
     pub fn holder_lost(&mut self, holder: &RouterId, now: Timestamp) -> Vec<OwnerReply> {
         let mut replies = Vec::new();
         for key in self.keys() {
@@ -331,7 +336,7 @@
         replies
     }
 
-    /// Adds the demand since the last call to `reports`.
+    /// Adds the demand since the last call to `reports`, by deployment.
     pub fn report(&mut self, reports: &mut BTreeMap<DeploymentName, DemandReport>, now: Timestamp) {
         for (key, queue) in &mut self.queues {
             let report = queue.waiting.report(now);
@@ -344,7 +349,7 @@
         }
     }
 
-    /// Tickets that wait in all queues together.
+    /// Number of waiting tickets in all queues, by class.
     #[must_use]
     pub fn waiting(&self) -> courseshunt_queue::WaitingByClass {
         let mut sum = courseshunt_queue::WaitingByClass::default();
@@ -355,7 +360,7 @@
     }
 }
 
-/// Whether a request has taken its slot for as long as it needed it.
+/// Whether a request used its slot for its full service time.
 fn has_run(outcome: AttemptOutcome) -> bool {
     matches!(
         outcome,
--- a/crates/router/src/dispatch/state.rs
+++ b/crates/router/src/dispatch/state.rs
@@ -1,4 +1,4 @@
-//! The state of the dispatcher: it carries out what the pure cores say.
+//! The state of the dispatcher, which performs the outputs of the queue logic.
 
 use super::actor::DispatcherMessage;
 use super::handle::{DispatcherHandle, GrantedRequest, OfferReply};
@@ -20,10 +20,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Ticks between looks for links that are not used any more.
+/// Number of ticks between checks for unused links.
 const TICKS_PER_LINK_CHECK: u64 = 600;
 
-/// What the actor works on.
+/// State of the dispatcher actor.
 pub struct DispatcherState {
     pub(super) myself: DispatcherHandle,
     pub(super) view: Arc<ConfigurationView>,
@@ -41,8 +41,8 @@
     pub(super) ticks: u64,
 }
 
-/// Something to carry out.
-enum Work {
+/// A queued output of the holder or of one of this router's queues.
+enum Pending {
     Holder(HolderOutput),
     Owner(QueueSite, OwnerReply),
 }
@@ -55,22 +55,22 @@
             DispatcherMessage::Cancel { request } => {
                 self.replies.remove(&request);
                 let outputs = self.holder.cancel(&request);
-                self.carry_out(outputs, now);
+                self.apply_outputs(outputs, now);
             }
             DispatcherMessage::Started { grant } => {
                 let outputs = self.holder.started(grant);
-                self.carry_out(outputs, now);
+                self.apply_outputs(outputs, now);
             }
             DispatcherMessage::Returned { grant, outcome } => {
                 let outputs = self.holder.returned(grant, outcome);
-                self.carry_out(outputs, now);
+                self.apply_outputs(outputs, now);
             }
             DispatcherMessage::ViewChanged => self.view_changed(now),
-            DispatcherMessage::Peer(event) => self.peer(event, now),
+            DispatcherMessage::Peer(event) => self.handle_peer_event(event, now),
             DispatcherMessage::Report { reply } => {
-                let _ = reply.send(self.report(now));
+                let _ = reply.send(self.demand_reports(now));
             }
-            DispatcherMessage::Stop => self.hand_over(now),
+            DispatcherMessage::Stop => self.hand_over_queues(now),
             DispatcherMessage::Tick { sent } => {
                 self.limit.observe(now.since(sent), self.holder.waiting());
                 self.tick(now);
@@ -94,26 +94,26 @@
         };
         self.replies.insert(ticket.request.clone(), reply);
         let outputs = self.holder.offer(queue, ticket, now);
-        self.carry_out(outputs, now);
+        self.apply_outputs(outputs, now);
     }
 
-    /// Carries everything out, with all that follows from it.
-    pub(super) fn carry_out(&mut self, outputs: Vec<HolderOutput>, now: Timestamp) {
-        let mut work: VecDeque<Work> = outputs.into_iter().map(Work::Holder).collect();
-        while let Some(next) = work.pop_front() {
+    /// Performs outputs of the holder and all outputs that result from them.
+    pub(super) fn apply_outputs(&mut self, outputs: Vec<HolderOutput>, now: Timestamp) {
+        let mut pending: VecDeque<Pending> = outputs.into_iter().map(Pending::Holder).collect();
+        while let Some(next) = pending.pop_front() {
             match next {
-                Work::Holder(output) => work.extend(self.holder_output(output, now)),
-                Work::Owner(site, reply) => {
+                Pending::Holder(output) => pending.extend(self.apply_output(output, now)),
+                Pending::Owner(site, reply) => {
                     let outputs = self.owner_reply(site, reply, now);
-                    work.extend(outputs.into_iter().map(Work::Holder));
+                    pending.extend(outputs.into_iter().map(Pending::Holder));
                 }
             }
         }
     }
 
-    fn holder_output(&mut self, output: HolderOutput, now: Timestamp) -> Vec<Work> {
+    fn apply_output(&mut self, output: HolderOutput, now: Timestamp) -> Vec<Pending> {
         match output {
-            HolderOutput::Call { site, queue, call } => self.call(site, queue, call, now),
+            HolderOutput::Call { site, queue, call } => self.call_owner(site, queue, call, now),
             HolderOutput::Granted { grant, expires } => {
                 let endpoint = self.view.runner(&grant.runner);
                 let address = endpoint.map(|endpoint| endpoint.address);
@@ -121,7 +121,8 @@
                 let handle = self.myself.clone();
                 let address = address.unwrap_or_default();
                 let granted = GrantedRequest::new(address, expires, grant, handle);
-                // A caller that has left drops the grant, which returns the slot.
+                // Without a waiting caller the grant is dropped here, which returns
+                // the slot.
                 if let Some(reply) = reply {
                     let _ = reply.send(Ok(granted));
                 }
@@ -136,29 +137,29 @@
         }
     }
 
-    fn call(
+    fn call_owner(
         &mut self,
         site: QueueSite,
         queue: QueueKey,
         call: OwnerCall,
         now: Timestamp,
-    ) -> Vec<Work> {
-        let me = self.holder.members().me().clone();
+    ) -> Vec<Pending> {
+        let own_id = self.holder.members().me().clone();
         let replies = match &site {
-            QueueSite::Owner(owner) if *owner != me => {
-                self.links.to_owner(owner, message_of(queue, call));
+            QueueSite::Owner(owner) if *owner != own_id => {
+                self.links.send_to_owner(owner, message_of(queue, call));
                 return Vec::new();
             }
-            QueueSite::Owner(_) => self.own_call(&me, &queue, call, now),
-            QueueSite::Fallback => self.fallback.call(&me, &queue, call, now),
+            QueueSite::Owner(_) => self.call_own_queue(&own_id, &queue, call, now),
+            QueueSite::Fallback => self.fallback.call(&own_id, &queue, call, now),
         };
         let replies = replies.into_iter();
         replies
-            .map(|reply| Work::Owner(site.clone(), reply))
+            .map(|reply| Pending::Owner(site.clone(), reply))
             .collect()
     }
 
-    pub(super) fn own_call(
+    pub(super) fn call_own_queue(
         &mut self,
         holder: &RouterId,
         queue: &QueueKey,
@@ -171,19 +172,19 @@
         self.owned.call(holder, queue, call, now)
     }
 
-    /// Hands a reply of one of this router's queues to its holder.
+    /// Passes a reply of one of this router's queues to the holder of the ticket.
     fn owner_reply(
         &mut self,
         site: QueueSite,
         reply: OwnerReply,
         now: Timestamp,
     ) -> Vec<HolderOutput> {
-        let me = self.holder.members().me().clone();
+        let own_id = self.holder.members().me().clone();
         match reply {
-            OwnerReply::Granted { queue, grant } if grant.holder == me => {
+            OwnerReply::Granted { queue, grant } if grant.holder == own_id => {
                 self.holder.granted(site, queue, grant, now)
             }
-            OwnerReply::Refused { refusal, .. } if refusal.holder == me => {
+            OwnerReply::Refused { refusal, .. } if refusal.holder == own_id => {
                 self.holder.refused(&site, refusal)
             }
             OwnerReply::Granted { queue, grant } => {
@@ -194,22 +195,27 @@
                     epoch,
                     grant,
                 };
-                self.links.to_holder(&holder, message);
+                self.links.send_to_holder(&holder, message);
                 Vec::new()
             }
             OwnerReply::Refused { queue, refusal } => {
                 let holder = refusal.holder.clone();
                 let message = Message::Refused { queue, refusal };
-                self.links.to_holder(&holder, message);
+                self.links.send_to_holder(&holder, message);
                 Vec::new()
             }
         }
     }
 
-    pub(super) fn deliver(&mut self, site: &QueueSite, replies: Vec<OwnerReply>, now: Timestamp) {
+    pub(super) fn deliver_replies(
+        &mut self,
+        site: &QueueSite,
+        replies: Vec<OwnerReply>,
+        now: Timestamp,
+    ) {
         for reply in replies {
             let outputs = self.owner_reply(site.clone(), reply, now);
-            self.carry_out(outputs, now);
+            self.apply_outputs(outputs, now);
         }
     }
 
@@ -221,37 +227,37 @@
         let routers = self.view.routers();
         if routers != self.routers {
             self.links.set_routers(&routers);
-            let members = routers.iter().map(|one| Member {
-                router: one.router.clone(),
-                incarnation: one.incarnation,
-                leaving: one.leaving,
+            let members = routers.iter().map(|endpoint| Member {
+                router: endpoint.router.clone(),
+                incarnation: endpoint.incarnation,
+                leaving: endpoint.leaving,
             });
             let members: Vec<Member> = members.collect();
             let epoch = self.holder.members().epoch().next();
             self.routers = routers;
             let outputs = self.holder.set_live(epoch, members, now);
-            self.carry_out(outputs, now);
+            self.apply_outputs(outputs, now);
         }
         for queue in self.holder.queues() {
             if self.view.deployment(&queue.deployment).is_none() {
                 let refusal = unknown_deployment(&queue.deployment);
                 let outputs = self.holder.refuse_queue(&queue, &refusal);
-                self.carry_out(outputs, now);
+                self.apply_outputs(outputs, now);
             }
         }
         let replies = self.owned.refresh_all(now);
-        self.deliver(&self.own_site(), replies, now);
+        self.deliver_replies(&self.own_site(), replies, now);
         let replies = self.fallback.refresh_all(now);
-        self.deliver(&QueueSite::Fallback, replies, now);
+        self.deliver_replies(&QueueSite::Fallback, replies, now);
     }
 
     fn tick(&mut self, now: Timestamp) {
         let outputs = self.holder.expire(now);
-        self.carry_out(outputs, now);
+        self.apply_outputs(outputs, now);
         let replies = self.owned.tick(now);
-        self.deliver(&self.own_site(), replies, now);
+        self.deliver_replies(&self.own_site(), replies, now);
         let replies = self.fallback.tick(now);
-        self.deliver(&QueueSite::Fallback, replies, now);
+        self.deliver_replies(&QueueSite::Fallback, replies, now);
         self.ticks += 1;
         if self.ticks.is_multiple_of(TICKS_PER_LINK_CHECK) {
             let holder = &self.holder;
@@ -269,11 +275,11 @@
         });
     }
 
-    fn report(&mut self, now: Timestamp) -> Vec<DemandReport> {
+    fn demand_reports(&mut self, now: Timestamp) -> Vec<DemandReport> {
         let mut reports = BTreeMap::new();
         self.owned.report(&mut reports, now);
         self.fallback.report(&mut reports, now);
-        // A queue that moved away is reported as empty once.
+        // A queue that moved to another router is reported as empty once.
         for name in self.reported.keys() {
             if !reports.contains_key(name) {
                 reports.insert(name.clone(), DemandReport::empty(name.clone()));
--- a/crates/router/src/dispatch/translate.rs
+++ b/crates/router/src/dispatch/translate.rs
@@ -1,9 +1,9 @@
-//! Calls to owners as messages, and back.
+//! Converts calls to queue owners to wire messages and back.
 
 use courseshunt_queue::{OwnerCall, QueueKey};
 use courseshunt_wire::Message;
 
-/// The message for a call.
+/// Converts a call to its message.
 pub fn message_of(queue: QueueKey, call: OwnerCall) -> Message {
     match call {
         OwnerCall::Offer(ticket) => Message::Offer { queue, ticket },
@@ -18,7 +18,7 @@
     }
 }
 
-/// The call in a message, if it is one.
+/// Converts a message to a call; `None` if the message is not a call.
 pub fn call_of(message: Message) -> Option<(QueueKey, OwnerCall)> {
     match message {
         Message::Offer { queue, ticket } => Some((queue, OwnerCall::Offer(ticket))),
