--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a router's start, which name the step and the file or address.
+//! Errors at the start of a router. Each names the step and the file or address.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,31 +7,31 @@
 #[derive(Debug, snafu::Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RouterError {
-    /// A file can't be read.
+    /// The file with the cluster key can't be read.
     #[snafu(display("router: read {}: {source}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The cluster key is too short.
+    /// The cluster key has fewer than 16 bytes.
     #[snafu(display("router: the cluster key must have at least 16 bytes"))]
     ShortKey,
-    /// An address can't be bound.
+    /// A listen address can't be bound.
     #[snafu(display("router: listen on {address}: {source}"))]
     Bind {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// The cause.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// An actor can't be started.
-    #[snafu(display("router: start the {part}: {message}"))]
+    #[snafu(display("router: start the {component}: {message}"))]
     Actor {
-        /// The part.
-        part: &'static str,
-        /// What is wrong.
+        /// Component that the actor implements.
+        component: &'static str,
+        /// The router's name and the error of the actor system.
         message: String,
     },
 }
--- a/crates/router/src/jobs/api.rs
+++ b/crates/router/src/jobs/api.rs
@@ -1,4 +1,4 @@
-//! The callers' interface of deferred jobs: `/v1/jobs`.
+//! The HTTP API of deferred jobs: `/v1/jobs`.
 
 use crate::RouterContext;
 use crate::attempt::Count;
@@ -14,16 +14,16 @@
 use hyper::{Method, Response, StatusCode};
 use serde_json::{Value, json};
 
-/// Path of the interface.
+/// Path prefix of the API.
 pub const JOBS_PATH: &str = "/v1/jobs";
-/// How long the answer of a job that nobody fetches is kept.
-const ANSWER_KEEP: Millis = Millis::from_secs(7 * 24 * 3600);
-/// Jobs listed at the most.
+/// Retention time of the answer of a finished job.
+const ANSWER_RETENTION: Millis = Millis::from_secs(7 * 24 * 3600);
+/// Maximum number of jobs in a list.
 const MAX_LISTED: u32 = 1000;
-/// When to come back for a ledger without quorum, or a full queue.
+/// Retry delay sent when the ledger has no quorum or the queue is full.
 const RETRY_AFTER: Millis = Millis::from_secs(5);
 
-/// Answers one request of an authenticated tenant.
+/// Handles a request of an authenticated tenant.
 ///
 /// # Errors
 /// The refusal for the caller.
@@ -74,7 +74,7 @@
     let mut headers = headers.clone();
     let batch = HeaderValue::from_static("batch");
     headers.entry(CLASS_HEADER).or_insert(batch);
-    let path = path_of(&body);
+    let path = runner_path(&body);
     let request = CallerRequest::parse(&headers, body, tenant, path, &context.view)?;
     let key = CallerRequest::key(&headers)?;
     let job = job_id(&request.tenant, key.as_ref());
@@ -88,12 +88,12 @@
         class: request.class,
         once_only: request.repeat != RepeatRule::Any && !CallerRequest::may_repeat(&headers),
         deadline_in: request.deadline_in,
-        keep: ANSWER_KEEP,
+        keep: ANSWER_RETENTION,
     };
     match commit(context, command).await? {
         JobReply::Accepted => {
             context.counts.add(Count::JobSubmitted);
-            Ok(accepted(&job))
+            Ok(accepted_response(&job))
         }
         JobReply::Conflict => {
             let message = "this key was used with another body";
@@ -108,12 +108,13 @@
             let message = "the deadline has passed";
             Err(Refusal::not_run(RefusalReason::DeadlineExceeded, message))
         }
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_reply(&other)),
     }
 }
 
-/// The runner's path for a body.
-fn path_of(body: &[u8]) -> &'static str {
+/// The path at the runner that fits a body: chat completions if it has
+/// `messages`.
+fn runner_path(body: &[u8]) -> &'static str {
     let content: Value = serde_json::from_slice(body).unwrap_or_default();
     match content.get("messages") {
         Some(_) => "/v1/chat/completions",
@@ -121,7 +122,8 @@
     }
 }
 
-/// Identity of a job: the same for the same key, so that a resend finds it.
+/// The id of a job. With a key it is derived from tenant and key, so that a resent
+/// request finds the same job.
 fn job_id(tenant: &TenantName, key: Option<&IdempotencyKey>) -> JobId {
     match key {
         Some(key) => {
@@ -132,7 +134,7 @@
     }
 }
 
-fn accepted(job: &JobId) -> Response<Body> {
+fn accepted_response(job: &JobId) -> Response<Body> {
     let content = json!({"id": job, "object": "job", "state": "queued"});
     let mut response = json_response(StatusCode::ACCEPTED, &content);
     if let Ok(location) = HeaderValue::from_str(&format!("{JOBS_PATH}/{job}")) {
@@ -151,8 +153,8 @@
         tenant,
     };
     match commit(context, command).await? {
-        JobReply::Found(view) => Ok(json_response(StatusCode::OK, &describe(&view))),
-        other => Err(refused(job, &other)),
+        JobReply::Found(view) => Ok(json_response(StatusCode::OK, &job_json(&view))),
+        other => Err(job_refusal(job, &other)),
     }
 }
 
@@ -166,8 +168,8 @@
         tenant,
     };
     match commit(context, command).await? {
-        JobReply::Found(view) => Ok(json_response(StatusCode::OK, &describe(&view))),
-        other => Err(refused(job, &other)),
+        JobReply::Found(view) => Ok(json_response(StatusCode::OK, &job_json(&view))),
+        other => Err(job_refusal(job, &other)),
     }
 }
 
@@ -178,15 +180,15 @@
     };
     match commit(context, command).await? {
         JobReply::List(views) => {
-            let data: Vec<Value> = views.iter().map(describe).collect();
+            let data: Vec<Value> = views.iter().map(job_json).collect();
             let content = json!({"object": "list", "data": data});
             Ok(json_response(StatusCode::OK, &content))
         }
-        other => Err(unexpected(&other)),
+        other => Err(unexpected_reply(&other)),
     }
 }
 
-fn refused(job: &str, reply: &JobReply) -> Refusal {
+fn job_refusal(job: &str, reply: &JobReply) -> Refusal {
     match reply {
         JobReply::NotFound => {
             let message = format!("there is no job {job}");
@@ -196,17 +198,17 @@
             let message = format!("job {job} has ended already: {state}");
             Refusal::not_run(RefusalReason::JobEnded, message)
         }
-        other => unexpected(other),
+        other => unexpected_reply(other),
     }
 }
 
-fn unexpected(reply: &JobReply) -> Refusal {
-    log::warn!("jobs: unexpected reply {reply:?}");
+fn unexpected_reply(reply: &JobReply) -> Refusal {
+    log::warn!("jobs: the ledger gave an unexpected reply: {reply:?}");
     let message = "the ledger gave an unexpected reply";
     Refusal::unknown(RefusalReason::LedgerUnavailable, message)
 }
 
-fn describe(view: &JobView) -> Value {
+fn job_json(view: &JobView) -> Value {
     json!({
         "id": view.job,
         "object": "job",
@@ -217,11 +219,11 @@
         "deadline_unix_ms": view.deadline,
         "ended_unix_ms": view.ended_at,
         "message": view.message,
-        "answer": view.answer.as_ref().map(describe_answer),
+        "answer": view.answer.as_ref().map(answer_json),
     })
 }
 
-fn describe_answer(answer: &StoredAnswer) -> Value {
+fn answer_json(answer: &StoredAnswer) -> Value {
     let text = || Value::from(String::from_utf8_lossy(&answer.body).into_owned());
     let body: Value = serde_json::from_slice(&answer.body).unwrap_or_else(|_| text());
     json!({"status": answer.status, "content_type": answer.content_type, "body": body})
--- a/crates/router/src/jobs/executor.rs
+++ b/crates/router/src/jobs/executor.rs
@@ -1,11 +1,11 @@
-//! Executes leased jobs.
+//! Executes deferred jobs under leases.
 //!
 //! Invariants: a job is sent to a runner only under a lease; a once-only job is
-//! given back only when it is proved not to have run; on a planned stop, jobs
-//! that run are finished and jobs that wait for a runner are given back.
+//! requeued only if it is proved not to have run; at a planned stop, running jobs
+//! are finished and jobs that wait for a runner are requeued.
 
-use super::board::{JobBoard, WaitingJob, is_due};
 use super::lease;
+use super::tracker::{JobTracker, WaitingJob, is_due};
 use crate::RouterContext;
 use crate::attempt::{Count, Execution, Work, read_answer};
 use crate::caller::may_use;
@@ -16,22 +16,22 @@
 };
 use std::time::Duration;
 
-/// Jobs that one router executes together.
+/// Maximum number of jobs that a router executes concurrently.
 const MAX_RUNNING: usize = 32;
-/// Time between looks at the windows.
-const INTERVAL: Duration = Duration::from_millis(500);
-/// Longest answer that is kept, in bytes.
-const MAX_KEPT_BYTES: usize = 4 * 1024 * 1024;
+/// Interval between checks for due jobs.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum length of a stored answer, in bytes.
+const MAX_STORED_BYTES: usize = 4 * 1024 * 1024;
 
-/// Executes jobs until the planned stop.
+/// Starts due jobs until the planned stop.
 pub async fn run(context: RouterContext) {
     loop {
         tokio::select! {
             () = context.stop.cancelled() => return,
             () = context.jobs.changed() => {}
-            () = tokio::time::sleep(INTERVAL) => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
         }
-        for job in due(&context, &context.jobs) {
+        for job in due_jobs(&context, &context.jobs) {
             if context.jobs.running() >= MAX_RUNNING {
                 break;
             }
@@ -43,9 +43,9 @@
     }
 }
 
-fn due(context: &RouterContext, board: &JobBoard) -> Vec<JobId> {
+fn due_jobs(context: &RouterContext, tracker: &JobTracker) -> Vec<JobId> {
     let now = context.clock.now();
-    let groups = board.waiting(now).into_iter();
+    let groups = tracker.waiting(now).into_iter();
     let due = groups.filter(|(deployment, jobs)| {
         let Some(document) = context.view.deployment(deployment) else {
             return true;
@@ -60,31 +60,31 @@
 }
 
 async fn execute(context: &RouterContext, job: &JobId) {
-    let Some(leased) = lease::take(context, job).await else {
+    let Some(leased) = lease::acquire(context, job).await else {
         context.jobs.end(job, true, context.clock.now());
         return;
     };
     context.counts.add(Count::JobLeased);
     let end = tokio::select! {
-        end = finish(context, job, &leased) => Some(end),
-        () = lease::hold(context, job) => None,
+        end = run_job(context, job, &leased) => Some(end),
+        () = lease::renew_until_lost(context, job) => None,
     };
     let Some(end) = end else {
         context.counts.add(Count::JobLost);
         context.jobs.end(job, true, context.clock.now());
         return;
     };
-    let goes_back = matches!(end, JobEnd::NotRun | JobEnd::Retry);
+    let is_requeued = matches!(end, JobEnd::NotRun | JobEnd::Retry);
     context.counts.add(match end {
         JobEnd::Answered(_) => Count::JobAnswered,
         _ => Count::JobReturned,
     });
-    lease::record(context, job, end).await;
-    context.jobs.end(job, goes_back, context.clock.now());
+    lease::record_end(context, job, end).await;
+    context.jobs.end(job, is_requeued, context.clock.now());
 }
 
-async fn finish(context: &RouterContext, job: &JobId, leased: &JobWork) -> JobEnd {
-    let work = match work(context, job, leased) {
+async fn run_job(context: &RouterContext, job: &JobId, leased: &JobWork) -> JobEnd {
+    let work = match build_work(context, job, leased) {
         Ok(work) => work,
         Err(message) => {
             return JobEnd::Refused {
@@ -95,14 +95,14 @@
     };
     let mut execution = Execution::new(context, &work);
     match answer(context, &mut execution).await {
-        Ok(answer) if answer.body.len() > MAX_KEPT_BYTES => JobEnd::Refused {
-            message: format!("the answer is longer than {MAX_KEPT_BYTES} bytes"),
+        Ok(answer) if answer.body.len() > MAX_STORED_BYTES => JobEnd::Refused {
+            message: format!("the answer is longer than {MAX_STORED_BYTES} bytes"),
             started: true,
         },
         Ok(answer) => JobEnd::Answered(answer),
         Err(refusal) => {
-            log::info!("jobs: {job} did not end: {}", refusal.message);
-            end_of(&refusal, leased.once_only)
+            log::info!("jobs: {job} ended without an answer: {}", refusal.message);
+            job_end(&refusal, leased.once_only)
         }
     }
 }
@@ -114,7 +114,7 @@
     loop {
         let granted = tokio::select! {
             granted = execution.grant() => granted?,
-            () = context.stop.cancelled() => return Err(execution.stopped()),
+            () = context.stop.cancelled() => return Err(execution.stopping_refusal()),
         };
         let end = match execution.attempt(granted).await {
             Ok((open, response)) => match read_answer(open, response).await {
@@ -123,12 +123,12 @@
             },
             Err(end) => end,
         };
-        execution.after(end)?;
+        execution.handle_end(end)?;
     }
 }
 
-/// How a job ends whose execution was refused.
-fn end_of(refusal: &Refusal, once_only: bool) -> JobEnd {
+/// The end of a job whose execution was refused.
+fn job_end(refusal: &Refusal, once_only: bool) -> JobEnd {
     let started = refusal.outcome != Outcome::NotRun;
     match refusal.reason {
         RefusalReason::DeadlineExceeded => JobEnd::DeadlineMissed { started },
@@ -152,12 +152,12 @@
     stream: bool,
 }
 
-/// Bytes of text that count as one token.
+/// Bytes per token in the estimate of the prompt's length.
 const BYTES_PER_TOKEN: usize = 4;
-/// Tokens assumed when the body names none.
+/// Value of `max_tokens` if the body has none.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-fn work(context: &RouterContext, job: &JobId, leased: &JobWork) -> Result<Work, String> {
+fn build_work(context: &RouterContext, job: &JobId, leased: &JobWork) -> Result<Work, String> {
     let body: JobBody =
         serde_json::from_slice(&leased.body).map_err(|error| format!("the body: {error}"))?;
     let document = context.view.deployment(&leased.deployment);
--- a/crates/router/src/jobs/mod.rs
+++ b/crates/router/src/jobs/mod.rs
@@ -1,10 +1,10 @@
-//! Deferred jobs: the callers' interface and the executor.
+//! Deferred jobs: the HTTP API for callers and the executor.
 
 mod api;
-mod board;
 mod executor;
 mod lease;
+mod tracker;
 
 pub use api::{JOBS_PATH, handle};
-pub use board::{JobBoard, WaitingJob, is_due};
 pub use executor::run;
+pub use tracker::{JobTracker, WaitingJob, is_due};
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,6 @@
-//! The request router: callers' API, waiting queues, dispatch and retries.
-//! This crate composes the pure queue core with HTTP and the control feed.
+//! The request router: the API for callers, waiting queues, dispatch and retries.
+//! This crate combines the queue logic, which does no I/O, with HTTP and the
+//! control feed.
 
 pub mod attempt;
 pub mod caller;
@@ -31,55 +32,57 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Longest wait for a controller that is told of the planned stop.
+/// Longest wait at a planned stop until a controller has been notified of it.
 const LEAVING_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the parts of a router share.
+/// State that the components of a router share; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct RouterContext {
-    /// Settings.
+    /// Settings of this router.
     pub settings: Arc<RouterSettings>,
-    /// Drawn at this start.
+    /// Random number that identifies this run of the process.
     pub incarnation: Incarnation,
-    /// Configuration, replicas and fleet, as last fed.
+    /// Configuration, replicas and live routers as received from the feed.
     pub view: Arc<ConfigurationView>,
-    /// The waiting queues.
+    /// Handle of the actor that manages the waiting queues.
     pub dispatcher: DispatcherHandle,
-    /// Commands for the replicated ledger.
+    /// Sends commands to the replicated ledger.
     pub ledger: LedgerClient,
-    /// What attempts, claims and jobs came to.
+    /// Counters of attempts, claims and jobs by result.
     pub counts: Arc<attempt::AttemptCounts>,
-    /// How long answers take.
+    /// Estimated service times of the deployments.
     pub service_times: Arc<attempt::ServiceTimes>,
-    /// Share of requests that may be retried.
+    /// Budget that limits the share of requests that are retried.
     pub retry_budget: Arc<attempt::RetryBudget>,
-    /// Queued jobs that this router is to execute.
-    pub jobs: Arc<jobs::JobBoard>,
-    /// Work that a planned stop waits for.
+    /// Queued jobs assigned to this router.
+    pub jobs: Arc<jobs::JobTracker>,
+    /// Tasks that a planned stop waits for.
     pub tasks: TaskTracker,
     /// Callers' requests by result.
     pub requests: Arc<caller::RequestCounts>,
-    /// Bound on callers' bodies in memory.
+    /// Limit on the memory for callers' request bodies.
     pub bodies: limits::BodyBudget,
-    /// HTTP client for runners.
+    /// HTTP client for requests to runners.
     pub client: HttpClient,
     /// Clock of this process.
     pub clock: MonotonicClock,
-    /// Cancelled when an operator asks for a planned stop.
+    /// Cancelled when an operator requests a planned stop.
     pub drain: CancellationToken,
-    /// Cancelled when a controller was told of the planned stop.
-    pub leaving_told: CancellationToken,
-    /// Cancelled at the planned stop.
+    /// Cancelled when a controller has been notified of the planned stop.
+    pub leaving_reported: CancellationToken,
+    /// Cancelled when the planned stop begins.
     pub stop: CancellationToken,
 }
 
 impl RouterContext {
-    /// Whether a router's incarnation lives, as far as the fleet view tells.
+    /// Whether this incarnation of a router is live according to the fleet view.
     #[must_use]
     pub fn is_live(&self, router: &RouterId, incarnation: Incarnation) -> bool {
         let own = *router == self.settings.id && incarnation == self.incarnation;
         let routers = self.view.routers();
-        let listed = |one: &RouterEndpoint| one.router == *router && one.incarnation == incarnation;
+        let listed = |endpoint: &RouterEndpoint| {
+            endpoint.router == *router && endpoint.incarnation == incarnation
+        };
         own || routers.iter().any(listed)
     }
 }
@@ -87,14 +90,14 @@
 /// A running router.
 #[derive(Debug)]
 pub struct Router {
-    /// Address for callers.
+    /// Address of the HTTP API for callers.
     pub http_address: SocketAddr,
-    /// Address for other processes.
+    /// Address of the wire protocol for controllers and other routers.
     pub wire_address: SocketAddr,
     context: RouterContext,
     server: tokio::task::JoinHandle<()>,
-    /// Cancelled when no request runs any more; the connections to controllers
-    /// and to other routers serve until then.
+    /// Cancelled when no request runs any more. The connections to controllers
+    /// and to other routers stay open until then.
     ended: CancellationToken,
 }
 
@@ -102,7 +105,7 @@
     /// Starts a router from its settings.
     ///
     /// # Errors
-    /// When the key can't be read or an address is taken.
+    /// When the cluster key can't be read or an address can't be bound.
     pub async fn start(settings: RouterSettings) -> Result<Self, RouterError> {
         let path = &settings.cluster_key_file;
         let key = std::fs::read_to_string(path).context(FileSnafu { path })?;
@@ -149,7 +152,7 @@
             bodies: limits::BodyBudget::new(max_waiting_bytes),
             clock,
             drain: CancellationToken::new(),
-            leaving_told: CancellationToken::new(),
+            leaving_reported: CancellationToken::new(),
             stop: CancellationToken::new(),
         };
         let endpoints = control::Endpoints {
@@ -176,7 +179,7 @@
         let handler = caller::handler(context.clone());
         let stop = context.stop.clone();
         let server = tokio::spawn(courseshunt_http::serve(http, limits, stop, handler));
-        log::info!("router: serves callers on {http_address}, the cluster on {wire_address}");
+        log::info!("router: serving HTTP on {http_address}, wire protocol on {wire_address}");
         Ok(Self {
             http_address,
             wire_address,
@@ -186,19 +189,19 @@
         })
     }
 
-    /// What the parts share, for tests and embedding.
+    /// The shared state, for tests and embedding.
     #[must_use]
     pub fn context(&self) -> &RouterContext {
         &self.context
     }
 
-    /// Waits until an operator asks for a planned stop.
+    /// Waits until an operator requests a planned stop.
     pub async fn drain_requested(&self) {
         self.context.drain.cancelled().await;
     }
 
-    /// Stops as planned: readiness goes off, the owned queues go to other
-    /// routers, running requests finish and their ends are recorded.
+    /// Performs a planned stop: the router reports not ready, its queues move to
+    /// other routers, running requests finish and their results are recorded.
     pub async fn stop(self) {
         let context = &self.context;
         context.stop.cancel();
@@ -211,10 +214,13 @@
         let drain = context.settings.drain;
         if tokio::time::timeout(drain.into(), finished).await.is_err() {
             let left = context.tasks.len();
-            log::warn!("router: stopped before all requests had ended ({left} tasks left)");
+            log::warn!(
+                "router: drain timed out after {} ms with {left} tasks in progress",
+                drain.0
+            );
         }
-        let told = context.leaving_told.cancelled();
-        let _ = tokio::time::timeout(LEAVING_TIMEOUT, told).await;
+        let reported = context.leaving_reported.cancelled();
+        let _ = tokio::time::timeout(LEAVING_TIMEOUT, reported).await;
         self.ended.cancel();
         log::info!("router: stopped");
     }
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,23 +1,23 @@
-//! A bound on the memory that callers' bodies take together.
+//! Limit on the total memory for callers' request bodies.
 //!
-//! Invariant: a body is read only after its length was reserved; the
-//! reservations never exceed the limit.
+//! Invariant: a body is read only after its length has been reserved, and the
+//! sum of all reservations never exceeds the limit.
 
 use courseshunt_types::{Millis, Refusal, RefusalReason};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// When a caller should come back after the memory was full.
+/// Retry delay sent to a caller when the limit is reached.
 const RETRY_AFTER: Millis = Millis::from_secs(1);
 
-/// See the module; cheap to clone.
+/// Limit on reserved bytes; clones share the same counter.
 #[derive(Debug, Clone)]
 pub struct BodyBudget {
     limit: usize,
     used: Arc<AtomicUsize>,
 }
 
-/// Reserved bytes, given back when dropped.
+/// A reservation of bytes, released when dropped.
 #[derive(Debug)]
 pub struct BodyReservation {
     bytes: usize,
@@ -34,16 +34,16 @@
         }
     }
 
-    /// Bytes that are reserved.
+    /// Number of bytes currently reserved.
     #[must_use]
     pub fn used(&self) -> usize {
         self.used.load(Ordering::Relaxed)
     }
 
-    /// Reserves `bytes`.
+    /// Reserves `bytes` until the reservation is dropped.
     ///
     /// # Errors
-    /// When the bodies of other requests take too much.
+    /// [`RefusalReason::QueueFull`] when the reservation would exceed the limit.
     pub fn reserve(&self, bytes: usize) -> Result<BodyReservation, Refusal> {
         let fits = |used: usize| used.checked_add(bytes).filter(|sum| *sum <= self.limit);
         let reserved = self
@@ -62,11 +62,11 @@
 }
 
 impl BodyReservation {
-    /// Gives back what is over `bytes`.
+    /// Releases the part of the reservation that exceeds `bytes`.
     pub fn shrink(&mut self, bytes: usize) {
-        let over = self.bytes.saturating_sub(bytes);
-        self.bytes -= over;
-        self.used.fetch_sub(over, Ordering::Relaxed);
+        let excess = self.bytes.saturating_sub(bytes);
+        self.bytes -= excess;
+        self.used.fetch_sub(excess, Ordering::Relaxed);
     }
 }
 
--- a/crates/router/src/peers/accept.rs
+++ b/crates/router/src/peers/accept.rs
@@ -1,4 +1,4 @@
-//! Serves the holders of tickets for this router's queues.
+//! Accepts connections from the holders of tickets for this router's queues.
 
 use super::links::PeerContext;
 use super::{PeerEvent, SEND_QUEUE, SessionNumber};
@@ -11,10 +11,10 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// Pause after an accept error.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts holders until `stop` is cancelled.
+/// Accepts and serves holders until `stop` is cancelled.
 pub async fn accept_holders(
     listener: TcpListener,
     context: PeerContext,
@@ -51,19 +51,22 @@
     let connection = match accept(stream, address, &context.key, &context.identity).await {
         Ok(connection) => connection,
         Err(error) => {
-            log::warn!("peers: connection refused: {error}");
+            log::warn!("peers: handshake with {address} failed: {error}");
             return;
         }
     };
     let PeerIdentity::Router(holder, _) = connection.peer.clone() else {
-        log::warn!("peers: {} is no router", connection.peer);
+        log::warn!(
+            "peers: closed connection from {address}: {} is not a router",
+            connection.peer
+        );
         return;
     };
     let ended = serve_holder(&holder, session, connection, &context, &relay).await;
     if let Err(error) = ended {
         log::info!("peers: session with holder {holder} ended: {error}");
     }
-    context.tell(PeerEvent::HolderLost { holder, session });
+    context.notify(PeerEvent::HolderLost { holder, session });
 }
 
 async fn serve_holder(
@@ -77,9 +80,10 @@
         sender, receiver, ..
     } = connection;
     let (messages, queue) = mpsc::channel(SEND_QUEUE);
-    // The dispatcher alone keeps the session: it ends when its sender goes.
+    // Only the dispatcher holds a strong sender: the session ends when the
+    // dispatcher drops it.
     let answers = messages.downgrade();
-    context.tell(PeerEvent::HolderConnected {
+    context.notify(PeerEvent::HolderConnected {
         holder: holder.clone(),
         session,
         sender: messages,
@@ -97,8 +101,12 @@
     Ok(())
 }
 
-/// Answers a router that reaches no controller.
-async fn pass_on(relay: &RelaySource, revision: Revision, answers: &mpsc::WeakSender<Message>) {
+/// Answers a subscription of a router that reaches no controller.
+async fn send_relayed_state(
+    relay: &RelaySource,
+    revision: Revision,
+    answers: &mpsc::WeakSender<Message>,
+) {
     let Some(answers) = answers.upgrade() else {
         return;
     };
@@ -120,16 +128,17 @@
     while let Some(message) = receiver.receive().await? {
         if message == Message::Ping {
             if let Some(answers) = answers.upgrade() {
-                // A full queue has other messages that show life.
+                // If the queue is full, its other messages show that this side
+                // is alive.
                 let _ = answers.try_send(Message::Pong);
             }
             continue;
         }
         if let Message::Subscribe(subscribe) = &message {
-            pass_on(relay, subscribe.revision, &answers).await;
+            send_relayed_state(relay, subscribe.revision, &answers).await;
             continue;
         }
-        context.tell(PeerEvent::FromHolder {
+        context.notify(PeerEvent::FromHolder {
             holder: holder.clone(),
             session,
             message,
--- a/crates/router/src/peers/dial.rs
+++ b/crates/router/src/peers/dial.rs
@@ -1,4 +1,4 @@
-//! Keeps one connection to an owner of queues.
+//! Maintains a connection to an owner of queues.
 
 use super::links::PeerContext;
 use super::{PeerEvent, SEND_QUEUE};
@@ -9,43 +9,46 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Longest time for connecting; a longer one counts as unreachable.
+/// Timeout of a connection attempt, after which the owner counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// First pause after a failed dial; doubles up to [`MAX_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause between dials.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
-/// Time between pings.
+/// Pause after the first failed connection attempt; doubles up to [`MAX_RETRY_PAUSE`].
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum pause between connection attempts.
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
+/// Interval between pings.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
-/// An owner that sends nothing for this long is lost.
+/// Time without any message after which an owner counts as lost.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1500);
 
-/// Dials an owner again and again until dropped.
+/// Connects to an owner and reconnects after each failure, until dropped.
 pub async fn run(owner: RouterId, address: SocketAddr, context: PeerContext) {
-    let mut pause = FIRST_PAUSE;
+    let mut pause = FIRST_RETRY_PAUSE;
     loop {
         match dial(address, &context).await {
             Ok(connection) => {
-                pause = FIRST_PAUSE;
+                pause = FIRST_RETRY_PAUSE;
                 let ended = session(&owner, connection, &context).await;
-                let silent = matches!(ended, Err(WireError::TimedOut { .. }));
+                let timed_out = matches!(ended, Err(WireError::TimedOut { .. }));
                 if let Err(error) = ended {
                     log::info!("peers: session with owner {owner} ended: {error}");
                 }
-                let lost = owner.clone();
-                context.tell(PeerEvent::OwnerDisconnected { owner: lost });
-                if silent {
-                    // It hardly answers a dial; tickets must not wait for that.
+                let disconnected = owner.clone();
+                context.notify(PeerEvent::OwnerDisconnected {
+                    owner: disconnected,
+                });
+                if timed_out {
+                    // An unresponsive owner would hardly answer a new connection, and
+                    // tickets must not wait for that attempt to time out.
                     let owner = owner.clone();
-                    context.tell(PeerEvent::OwnerUnreachable { owner });
+                    context.notify(PeerEvent::OwnerUnreachable { owner });
                 }
             }
             Err(error) => {
-                log::debug!("peers: owner {owner} can't be reached: {error}");
+                log::debug!("peers: connecting to owner {owner} at {address} failed: {error}");
                 let owner = owner.clone();
-                context.tell(PeerEvent::OwnerUnreachable { owner });
+                context.notify(PeerEvent::OwnerUnreachable { owner });
                 tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(MAX_PAUSE);
+                pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
         }
     }
@@ -70,7 +73,7 @@
         sender, receiver, ..
     } = connection;
     let (messages, queue) = mpsc::channel(SEND_QUEUE);
-    context.tell(PeerEvent::OwnerConnected {
+    context.notify(PeerEvent::OwnerConnected {
         owner: owner.clone(),
         sender: messages,
     });
@@ -99,8 +102,8 @@
     context: &PeerContext,
 ) -> Result<(), WireError> {
     loop {
-        let silent_at = Instant::now() + SILENCE_LIMIT;
-        let received = tokio::time::timeout_at(silent_at, receiver.receive()).await;
+        let deadline = Instant::now() + SILENCE_LIMIT;
+        let received = tokio::time::timeout_at(deadline, receiver.receive()).await;
         let message = received.map_err(|_| WireError::TimedOut {
             step: "receive",
             peer: owner.to_string(),
@@ -108,7 +111,7 @@
         match message {
             None => return Ok(()),
             Some(Message::Pong) => {}
-            Some(message) => context.tell(PeerEvent::FromOwner {
+            Some(message) => context.notify(PeerEvent::FromOwner {
                 owner: owner.clone(),
                 message,
             }),
--- a/crates/router/src/peers/links.rs
+++ b/crates/router/src/peers/links.rs
@@ -1,4 +1,4 @@
-//! The connections of this router, by peer.
+//! The open connections of this router, by peer.
 
 use super::{PeerEvent, PeerSender, SessionNumber, dial};
 use crate::dispatch::DispatcherMessage;
@@ -10,28 +10,28 @@
 use std::net::{IpAddr, SocketAddr};
 use tokio::task::AbortHandle;
 
-/// What a connection needs.
+/// Parameters that all connections share.
 #[derive(Debug, Clone)]
 pub struct PeerContext {
-    /// Key of the cluster.
+    /// Key that authenticates members of the cluster.
     pub key: ClusterKey,
-    /// Who this router is.
+    /// Identity of this router.
     pub identity: PeerIdentity,
-    /// IP number that dialled connections come from.
+    /// Local IP address for outgoing connections; `None` lets the system choose.
     pub source: Option<IpAddr>,
-    /// Receives the events.
+    /// Actor that receives the events.
     pub dispatcher: ActorRef<DispatcherMessage>,
 }
 
 impl PeerContext {
-    /// Tells the dispatcher an event.
-    pub fn tell(&self, event: PeerEvent) {
+    /// Sends an event to the dispatcher.
+    pub fn notify(&self, event: PeerEvent) {
         if self
             .dispatcher
             .cast(DispatcherMessage::Peer(event))
             .is_err()
         {
-            log::debug!("peers: the dispatcher has stopped");
+            log::debug!("peers: event dropped, the dispatcher has stopped");
         }
     }
 }
@@ -55,7 +55,7 @@
     sender: PeerSender,
 }
 
-/// Links to owners and holders.
+/// Connections to owners and from holders.
 #[derive(Debug)]
 pub struct Links {
     context: PeerContext,
@@ -65,7 +65,7 @@
 }
 
 impl Links {
-    /// No links.
+    /// Creates an empty set of links.
     #[must_use]
     pub fn new(context: PeerContext) -> Self {
         Self {
@@ -76,11 +76,11 @@
         }
     }
 
-    /// Takes the live routers in; links to others and to old addresses end.
+    /// Sets the live routers; closes links to other routers and to old addresses.
     pub fn set_routers(&mut self, routers: &[RouterEndpoint]) {
-        let addresses = routers.iter().filter_map(|one| {
-            let address = one.wire_address.parse::<SocketAddr>().ok()?;
-            Some((one.router.clone(), address))
+        let addresses = routers.iter().filter_map(|router| {
+            let address = router.wire_address.parse::<SocketAddr>().ok()?;
+            Some((router.router.clone(), address))
         });
         self.addresses = addresses.collect();
         let addresses = &self.addresses;
@@ -88,14 +88,15 @@
             .retain(|owner, link| addresses.get(owner) == Some(&link.address));
     }
 
-    /// Ends the links to owners that are not used.
+    /// Closes the links to owners for which `used` returns `false`.
     pub fn retain_owners(&mut self, used: impl Fn(&RouterId) -> bool) {
         self.owners.retain(|owner, _| used(owner));
     }
 
-    /// Sends to an owner; dials it when there is no link yet. Without a
-    /// session the message is dropped, and repeated when one begins.
-    pub fn to_owner(&mut self, owner: &RouterId, message: Message) {
+    /// Sends a message to an owner; connects to it if there is no link yet. Without
+    /// a session the message is dropped; the holder sends its state again when a
+    /// session begins.
+    pub fn send_to_owner(&mut self, owner: &RouterId, message: Message) {
         if !self.owners.contains_key(owner) {
             self.dial(owner);
             return;
@@ -107,7 +108,9 @@
             return;
         };
         if sender.try_send(message).is_err() {
-            log::warn!("peers: owner {owner} does not keep up");
+            log::warn!(
+                "peers: send queue to owner {owner} is full or closed; message dropped, session ended"
+            );
             link.sender = None;
         }
     }
@@ -115,7 +118,7 @@
     fn dial(&mut self, owner: &RouterId) {
         let Some(address) = self.addresses.get(owner).copied() else {
             let owner = owner.clone();
-            self.context.tell(PeerEvent::OwnerUnreachable { owner });
+            self.context.notify(PeerEvent::OwnerUnreachable { owner });
             return;
         };
         let work = dial::run(owner.clone(), address, self.context.clone());
@@ -127,7 +130,8 @@
         self.owners.insert(owner.clone(), link);
     }
 
-    /// Takes a new session with an owner in. Returns whether it is wanted.
+    /// Registers a new session with an owner. Returns `false` if the link to the
+    /// owner has been closed.
     pub fn owner_connected(&mut self, owner: &RouterId, sender: PeerSender) -> bool {
         let Some(link) = self.owners.get_mut(owner) else {
             return false;
@@ -136,14 +140,14 @@
         true
     }
 
-    /// Notes that a session with an owner ended.
+    /// Removes an ended session with an owner; the link stays and reconnects.
     pub fn owner_disconnected(&mut self, owner: &RouterId) {
         if let Some(link) = self.owners.get_mut(owner) {
             link.sender = None;
         }
     }
 
-    /// Takes a new session of a holder in; an older one ends.
+    /// Registers a new session of a holder; replaces an older one.
     pub fn holder_connected(
         &mut self,
         holder: RouterId,
@@ -154,8 +158,8 @@
         self.holders.insert(holder, link);
     }
 
-    /// Forgets a holder unless it has a newer session. Returns whether the
-    /// holder has no session now.
+    /// Removes a session of a holder unless a newer one replaced it. Returns
+    /// whether the holder now has no session.
     pub fn holder_lost(&mut self, holder: &RouterId, session: SessionNumber) -> bool {
         if self.is_session(holder, session) {
             self.holders.remove(holder);
@@ -163,29 +167,29 @@
         !self.holders.contains_key(holder)
     }
 
-    /// Whether this is the present session of a holder.
+    /// Whether `session` is the current session of a holder.
     #[must_use]
     pub fn is_session(&self, holder: &RouterId, session: SessionNumber) -> bool {
         let link = self.holders.get(holder);
         link.is_some_and(|link| link.session == session)
     }
 
-    /// Sends to a holder. A message that can't be sent ends its session.
-    pub fn to_holder(&mut self, holder: &RouterId, message: Message) {
+    /// Sends a message to a holder; ends the session if the send queue is full.
+    pub fn send_to_holder(&mut self, holder: &RouterId, message: Message) {
         let Some(link) = self.holders.get(holder) else {
             return;
         };
         if link.sender.try_send(message).is_err() {
-            log::warn!("peers: holder {holder} does not keep up");
+            log::warn!("peers: send queue to holder {holder} is full or closed; session ended");
             self.holders.remove(holder);
         }
     }
 
-    /// Sends to all holders.
-    pub fn to_all_holders(&mut self, message: &Message) {
+    /// Sends a message to all holders.
+    pub fn send_to_all_holders(&mut self, message: &Message) {
         let holders: Vec<RouterId> = self.holders.keys().cloned().collect();
         for holder in holders {
-            self.to_holder(&holder, message.clone());
+            self.send_to_holder(&holder, message.clone());
         }
     }
 }
--- a/crates/router/src/peers/mod.rs
+++ b/crates/router/src/peers/mod.rs
@@ -1,10 +1,10 @@
-//! Connections between routers: tickets go to the owners of queues, grants
-//! come back.
+//! Connections between routers: tickets are sent to the owners of queues, which
+//! reply with grants.
 //!
-//! A router dials the owners that it has tickets for, and is dialled by the
-//! holders of tickets for its own queues. Invariant: a message is delivered in
-//! order within one session or not at all; at the start of a session both
-//! sides tell each other what must be known.
+//! A router connects to the owners that it has tickets for and accepts
+//! connections from the holders of tickets for its own queues. Invariant: within
+//! a session messages are delivered in order or not at all; at the start of a
+//! session the holder sends its tickets and grants again.
 
 mod accept;
 mod dial;
@@ -17,66 +17,66 @@
 use courseshunt_wire::Message;
 use tokio::sync::mpsc;
 
-/// Messages that wait to be sent to one peer; more end the session.
+/// Capacity of the send queue to one peer; an overflow ends the session.
 const SEND_QUEUE: usize = 4096;
 
-/// Sends to one peer within one session.
+/// Sender of messages to one peer within one session.
 pub type PeerSender = mpsc::Sender<Message>;
 
 /// Number of a session, unique within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SessionNumber(pub u64);
 
-/// What the connections tell the dispatcher.
+/// Event on a connection, reported to the dispatcher.
 #[derive(Debug)]
 pub enum PeerEvent {
-    /// A session with an owner began.
+    /// A session with an owner was established.
     OwnerConnected {
-        /// The owner.
+        /// Id of the owner.
         owner: RouterId,
-        /// Sends to it.
+        /// Sender of messages within the session.
         sender: PeerSender,
     },
     /// An owner can't be reached.
     OwnerUnreachable {
-        /// The owner.
+        /// Id of the owner.
         owner: RouterId,
     },
-    /// A session with an owner ended; another is tried.
+    /// A session with an owner ended; a new connection is attempted.
     OwnerDisconnected {
-        /// The owner.
+        /// Id of the owner.
         owner: RouterId,
     },
-    /// A message of an owner.
+    /// An owner sent a message.
     FromOwner {
-        /// The owner.
+        /// Id of the owner.
         owner: RouterId,
-        /// The message.
+        /// The received message.
         message: Message,
     },
-    /// A holder began a session.
+    /// A session with a holder was established.
     HolderConnected {
-        /// The holder.
+        /// Id of the holder.
         holder: RouterId,
-        /// The session.
+        /// Number of the session.
         session: SessionNumber,
-        /// Sends to it.
+        /// Sender of messages within the session.
         sender: PeerSender,
     },
-    /// A message of a holder.
+    /// A holder sent a message.
     FromHolder {
-        /// The holder.
+        /// Id of the holder.
         holder: RouterId,
-        /// The session.
+        /// Number of the session.
         session: SessionNumber,
-        /// The message.
+        /// The received message.
         message: Message,
     },
     /// A holder's session ended.
     HolderLost {
-        /// The holder.
+        /// Id of the holder.
         holder: RouterId,
-        /// The session.
+        /// Number of the session.
         session: SessionNumber,
     },
 }
--- a/crates/router/tests/attempt.rs
+++ b/crates/router/tests/attempt.rs
@@ -1,4 +1,5 @@
-//! Contract of an attempt: what may be called not-run, and the retry budget.
+//! Attempts: which events prove that an attempt has not run, the retry budget, and
+//! the service time estimate.
 
 use courseshunt_queue::{AdmissionFailure, AttemptOutcome};
 use courseshunt_router::attempt::*;
@@ -6,7 +7,7 @@
 
 use AttemptEvent::*;
 
-/// Events in order, what a caller may be told, what the queue's owner is told.
+/// Name, events in order, outcome for the caller, report to the queue's owner.
 type Case = (
     &'static str,
     &'static [AttemptEvent],
@@ -19,13 +20,13 @@
     total: Millis(0),
 };
 const BUSY: AttemptOutcome = AttemptOutcome::NotAdmitted(AdmissionFailure::Busy);
-const DRAINS: AttemptOutcome = AttemptOutcome::NotAdmitted(AdmissionFailure::Draining);
-const GONE: AttemptOutcome = AttemptOutcome::NotAdmitted(AdmissionFailure::Unreachable);
+const DRAINING: AttemptOutcome = AttemptOutcome::NotAdmitted(AdmissionFailure::Draining);
+const UNREACHABLE: AttemptOutcome = AttemptOutcome::NotAdmitted(AdmissionFailure::Unreachable);
 
 const CASES: &[Case] = &[
     ("granted only", &[], Outcome::NotRun, BUSY),
     (
-        "runner gone before the send",
+        "runner unknown before the send",
         &[RunnerUnknown],
         Outcome::NotRun,
         AttemptOutcome::Unused,
@@ -34,10 +35,10 @@
         "connect refused",
         &[Sending, ConnectFailed],
         Outcome::NotRun,
-        GONE,
+        UNREACHABLE,
     ),
     (
-        "sent, then nothing",
+        "sent, without an answer",
         &[Sending],
         Outcome::Unknown,
         AttemptOutcome::Failed,
@@ -52,7 +53,7 @@
         "draining refusal",
         &[Sending, Refused(NotRunCause::Draining)],
         Outcome::NotRun,
-        DRAINS,
+        DRAINING,
     ),
     (
         "full refusal",
@@ -61,67 +62,67 @@
         BUSY,
     ),
     (
-        "fenced by the runner",
+        "cancelled at the runner before its start",
         &[Sending, Fenced],
         Outcome::NotRun,
-        GONE,
+        UNREACHABLE,
     ),
     (
-        "a refusal after the answer began proves nothing",
+        "a refusal after the head of the answer does not prove not-run",
         &[Sending, HeadMatched, Refused(NotRunCause::Full)],
         Outcome::Unknown,
         AttemptOutcome::Failed,
     ),
     (
-        "a connect error after the answer began proves nothing",
+        "a connect error after the head of the answer does not prove not-run",
         &[Sending, HeadMatched, ConnectFailed],
         Outcome::Unknown,
         AttemptOutcome::Failed,
     ),
     (
-        "an unknown runner after the send proves nothing",
+        "an unknown runner after the send does not prove not-run",
         &[Sending, RunnerUnknown],
         Outcome::Unknown,
         AttemptOutcome::Failed,
     ),
     (
-        "cut short",
-        &[Sending, HeadMatched, Failed(UnknownCause::CutShort)],
+        "truncated answer",
+        &[Sending, HeadMatched, Failed(UnknownCause::Truncated)],
         Outcome::Unknown,
         AttemptOutcome::Failed,
     ),
     (
-        "whole",
+        "complete answer",
         &[Sending, HeadMatched, Finished],
         Outcome::Done,
         DONE,
     ),
     (
-        "an end without an answer is no answer",
+        "an end without the head of an answer is a failure",
         &[Sending, Finished],
         Outcome::Unknown,
         AttemptOutcome::Failed,
     ),
     (
-        "caller left",
+        "caller disconnected",
         &[Sending, CallerLeft],
         Outcome::Unknown,
         AttemptOutcome::Cancelled,
     ),
     (
-        "caller left before the send",
+        "caller disconnected before the send",
         &[CallerLeft],
         Outcome::NotRun,
         BUSY,
     ),
     (
-        "the first outcome counts",
-        &[Sending, Failed(UnknownCause::Crossed), Fenced, Finished],
+        "the first outcome is final",
+        &[Sending, Failed(UnknownCause::Mismatched), Fenced, Finished],
         Outcome::Unknown,
         AttemptOutcome::Failed,
     ),
     (
-        "an answer does not start over",
+        "the stage does not go back after the head of the answer",
         &[Sending, HeadMatched, Sending, ConnectFailed],
         Outcome::Unknown,
         AttemptOutcome::Failed,
@@ -129,49 +130,52 @@
 ];
 
 #[test]
-fn only_proof_makes_an_attempt_not_run() {
-    for (name, events, outcome, ending) in CASES {
+fn attempt_counts_as_not_run_only_with_proof() {
+    for (name, events, outcome, report) in CASES {
         let mut machine = AttemptMachine::default();
-        let settled = events
+        let ended = events
             .iter()
             .filter_map(|event| machine.step(*event))
             .count();
-        assert!(settled <= 1, "{name}: settled {settled} times");
+        assert!(ended <= 1, "{name}: {ended} events ended the attempt");
         assert_eq!(machine.outcome().outcome(), *outcome, "{name}");
         assert_eq!(
             machine.outcome().report(AttemptTimes::default()),
-            *ending,
+            *report,
             "{name}"
         );
     }
 }
 
 #[test]
-fn retries_are_a_share_of_first_attempts() {
+fn retries_are_limited_to_a_share_of_first_attempts() {
     let budget = RetryBudget::default();
     let mut allowed = 0;
     for _ in 0..1000 {
         budget.deposit();
         allowed += u32::from(budget.withdraw());
     }
-    // The reserve of ten and a fifth of the first attempts.
-    assert!((200..=211).contains(&allowed), "{allowed} of 1000");
+    // The initial ten tokens and one for every five first attempts.
+    assert!(
+        (200..=211).contains(&allowed),
+        "{allowed} retries for 1000 first attempts"
+    );
     assert!(!budget.withdraw());
     budget.set_limited(false);
     assert!(budget.withdraw());
 }
 
 #[test]
-fn the_expected_time_follows_the_answers() {
+fn expected_time_follows_observed_answers() {
     let times = ServiceTimes::default();
     let name = "agro-llm".into();
     assert_eq!(times.expected(&name, 100, false), Millis(0));
     for _ in 0..50 {
-        times.learn(&name, 10, Millis(200));
-        times.learn_first(&name, Millis(60));
+        times.observe_answer(&name, 10, Millis(200));
+        times.observe_first_event(&name, Millis(60));
     }
-    let whole = times.expected(&name, 100, false);
-    assert!((1_990..=2_000).contains(&whole.0), "{whole:?}");
+    let complete = times.expected(&name, 100, false);
+    assert!((1_990..=2_000).contains(&complete.0), "{complete:?}");
     let first = times.expected(&name, 100, true);
     assert!((58..=60).contains(&first.0), "{first:?}");
 }
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fake controller on a real socket, and a router that follows it.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! A fake controller on a loopback socket, and routers that connect to it.
+#![allow(dead_code, reason = "each test file uses only a part of the module")]
 
 use courseshunt_router::Router;
 use courseshunt_settings::RouterSettings;
@@ -11,10 +11,10 @@
 use tokio::net::TcpListener;
 
 pub const KEY: &str = "a cluster key for tests";
-/// Longest wait for a condition.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of waits for a condition.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings of a router that knows `controllers`.
+/// Settings of a router that connects to `controllers`.
 pub fn settings(
     folder: &std::path::Path,
     name: &str,
@@ -34,12 +34,12 @@
     RouterSettings::load(&arguments).unwrap()
 }
 
-/// A router that follows `controllers`.
+/// Starts a router that connects to `controllers`.
 pub async fn start_router(controllers: &[SocketAddr]) -> Router {
     start_router_named("router-1", controllers).await
 }
 
-/// A router with a name that follows `controllers`.
+/// Starts a router named `name` that connects to `controllers`.
 pub async fn start_router_named(name: &str, controllers: &[SocketAddr]) -> Router {
     let folder = tempfile::tempdir().unwrap();
     let settings = settings(folder.path(), name, controllers);
@@ -58,7 +58,7 @@
         Self { listener, address }
     }
 
-    /// The next router that connects, after its subscription.
+    /// Accepts the next router. Returns the connection and its subscription.
     pub async fn router(&self) -> (Connection, Subscribe) {
         let accepted = async {
             let (stream, address) = self.listener.accept().await.unwrap();
@@ -66,8 +66,8 @@
             let identity = PeerIdentity::Controller(ControllerId(1));
             accept(stream, address, &key, &identity).await.unwrap()
         };
-        let accepted = tokio::time::timeout(PATIENCE, accepted).await;
-        let mut connection = accepted.expect("a router connects in time");
+        let accepted = tokio::time::timeout(WAIT_TIMEOUT, accepted).await;
+        let mut connection = accepted.expect("a router connects before the timeout");
         let first = connection.receiver.receive().await.unwrap();
         let Some(Message::Subscribe(subscribe)) = first else {
             panic!("expected a subscription, got {first:?}");
--- a/crates/router/tests/feed.rs
+++ b/crates/router/tests/feed.rs
@@ -1,10 +1,10 @@
-//! Contract of the feed at a router: nothing reverts, updates in parts come
-//! into force whole, callers are taken only after a confirmed sync, a stale
-//! controller is left.
+//! The feed at a router: revisions never decrease, updates in parts are applied
+//! atomically, the router is synced only after a fresh confirmation, and it
+//! disconnects from a stale controller.
 
 mod common;
 
-use common::{FakeController, PATIENCE, start_router};
+use common::{FakeController, WAIT_TIMEOUT, start_router};
 use courseshunt_router::configuration::ConfigurationView;
 use courseshunt_router::control::{FeedFreshness, STALE_LIMIT};
 use courseshunt_state::StoredDeployment;
@@ -37,12 +37,12 @@
 
 fn names(view: &ConfigurationView) -> Vec<String> {
     let deployments = view.deployments();
-    let names = deployments.iter().map(|one| one.name.0.clone());
+    let names = deployments.iter().map(|document| document.name.0.clone());
     names.collect()
 }
 
 #[test]
-fn updates_come_into_force_whole_and_never_revert() {
+fn updates_apply_atomically_and_never_revert() {
     let view = ConfigurationView::default();
     let steps: Vec<(&str, ConfigurationUpdate, Option<u64>, &[&str])> = vec![
         ("first part", update(true, 5, true, &["a"]), None, &[]),
@@ -59,13 +59,13 @@
             &["a", "b", "c"],
         ),
         (
-            "older",
+            "older revision is ignored",
             update(true, 5, false, &["x"]),
             None,
             &["a", "b", "c"],
         ),
         (
-            "first part of a sync: the old stays in force",
+            "first part of a sync: the previous revision stays in force",
             update(true, 9, true, &["d"]),
             None,
             &["a", "b", "c"],
@@ -79,7 +79,7 @@
         );
         assert_eq!(names(&view), expected, "{name}");
     }
-    // The connection breaks; the unfinished sync leaves nothing.
+    // The connection is lost; the parts of the incomplete sync are dropped.
     view.begin_feed();
     let change = update(false, 7, false, &["e"]);
     assert_eq!(view.apply_configuration(change), Some(Revision(7)));
@@ -87,9 +87,9 @@
 }
 
 #[test]
-fn the_age_of_confirmations_decides() {
+fn feed_is_stale_when_its_confirmation_is_too_old() {
     let limit = STALE_LIMIT.0;
-    // (age in the confirmation, when it came, looked at, fresh, stale then)
+    // (age in the confirmation, received at, checked at, fresh, stale)
     let cases = [
         (None, 0, limit, true, false),
         (None, 0, limit + 1, true, true),
@@ -99,26 +99,29 @@
         (Some(limit + 1), limit + 1, limit + 1, false, true),
         (Some(1_000), 5_000, 4_001 + limit, true, true),
     ];
-    for (age, came, looked, fresh, stale) in cases {
+    for (age, received_at, checked_at, fresh, stale) in cases {
         let mut freshness = FeedFreshness::connected(Timestamp(0));
         if let Some(age) = age {
-            let judged = freshness.confirmed(Millis(age), Timestamp::at(came));
-            assert_eq!(judged, fresh, "age {age} at {came}");
+            let result = freshness.confirmed(Millis(age), Timestamp::at(received_at));
+            assert_eq!(result, fresh, "age {age} at {received_at}");
         }
-        let judged = freshness.is_stale(Timestamp::at(looked));
-        assert_eq!(judged, stale, "age {age:?} at {came}, looked at {looked}");
+        let result = freshness.is_stale(Timestamp::at(checked_at));
+        assert_eq!(
+            result, stale,
+            "age {age:?} at {received_at}, checked at {checked_at}"
+        );
     }
 }
 
 async fn confirm(connection: &mut Connection, age: Millis, revision: u64) {
     let revision = Revision(revision);
     let message = Message::FeedConfirmation { age, revision };
-    // The router may have left already.
+    // The router may have disconnected already.
     let _ = connection.sender.send(&message).await;
 }
 
-/// Confirms a revision again and again until `condition` holds, so that the
-/// router stays, however slow the machine is.
+/// Sends confirmations of a revision until `condition` holds, so that the router
+/// does not disconnect as from a stale feed when the machine is slow.
 async fn confirm_until(
     connection: &mut Connection,
     revision: u64,
@@ -131,8 +134,8 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, confirming).await;
-    assert!(waited.is_ok(), "not in time: {what}");
+    let waited = tokio::time::timeout(WAIT_TIMEOUT, confirming).await;
+    assert!(waited.is_ok(), "timed out waiting for: {what}");
 }
 
 async fn send(connection: &mut Connection, update: ConfigurationUpdate) {
@@ -141,14 +144,15 @@
 }
 
 #[tokio::test]
-async fn callers_are_taken_after_a_confirmed_sync() {
+async fn router_is_synced_only_after_a_fresh_confirmation() {
     let controller = FakeController::start().await;
     let router = start_router(&[controller.address]).await;
     let view = router.context().view.clone();
     let (mut feed, subscribe) = controller.router().await;
     assert_eq!(subscribe.revision, Revision(0));
     send(&mut feed, update(true, 1, false, &["a"])).await;
-    // Too old to tell that 1 is the newest; then fresh, but 2 is the newest.
+    // The confirmation of revision 1 is too old; the next one is fresh, but
+    // confirms revision 2 as the newest.
     confirm(&mut feed, Millis(STALE_LIMIT.0 + 1), 1).await;
     let confirmed = || view.confirmation().is_some();
     confirm_until(&mut feed, 2, "a confirmation", confirmed).await;
@@ -160,24 +164,24 @@
 }
 
 #[tokio::test]
-async fn a_stale_controller_is_left_and_nothing_reverts() {
+async fn router_leaves_a_stale_controller_without_reverting() {
     let controllers = [FakeController::start().await, FakeController::start().await];
     let addresses = [controllers[0].address, controllers[1].address];
     let router = start_router(&addresses).await;
     let view = router.context().view.clone();
-    // The first controller is one of the two.
+    // The router connects to either controller first.
     let ((mut feed, _), other) = tokio::select! {
         feed = controllers[0].router() => (feed, &controllers[1]),
         feed = controllers[1].router() => (feed, &controllers[0]),
     };
     send(&mut feed, update(true, 5, false, &["a"])).await;
     confirm_until(&mut feed, 5, "synced", || view.is_synced()).await;
-    // The controller is cut off: it goes on answering, but its confirmation
-    // grows old.
+    // The controller is partitioned from its quorum: it keeps answering, but its
+    // confirmation is too old.
     confirm(&mut feed, Millis(STALE_LIMIT.0 + 1), 5).await;
     let (mut second, subscribe) = other.router().await;
     assert_eq!(subscribe.revision, Revision(5));
-    // The other one lags behind; the router keeps what it has.
+    // The second controller is stale at revision 3; the router ignores that update.
     send(&mut second, update(true, 3, false, &["old"])).await;
     send(&mut second, update(false, 6, false, &["b"])).await;
     let in_force = || view.revision() == Revision(6);
--- a/crates/router/tests/job_window.rs
+++ b/crates/router/tests/job_window.rs
@@ -1,6 +1,7 @@
-//! When deferred jobs begin: one load serves many.
+//! When deferred jobs start: they wait for a batch window, so that one model load
+//! serves many jobs.
 
-use courseshunt_router::jobs::{JobBoard, WaitingJob, is_due};
+use courseshunt_router::jobs::{JobTracker, WaitingJob, is_due};
 use courseshunt_types::{Millis, PriorityClass, Timestamp};
 use courseshunt_wire::message::QueuedJob;
 
@@ -16,26 +17,26 @@
 }
 
 #[test]
-fn jobs_wait_for_their_window_unless_a_deadline_or_a_loaded_model_calls() {
+fn jobs_wait_for_their_window_unless_a_deadline_is_near_or_the_model_is_loaded() {
     let window = Millis(HOUR);
     let load = Millis(30_000);
-    let young = || job("young", 10 * HOUR, 20 * HOUR);
+    let recent = || job("recent", 10 * HOUR, 20 * HOUR);
     let cases = [
-        ("young", vec![young()], false, false),
-        ("loaded anyway", vec![young()], true, true),
+        ("recent", vec![recent()], false, false),
+        ("model already loaded", vec![recent()], true, true),
         (
-            "the oldest waited long",
-            vec![young(), job("old", 9 * HOUR, 20 * HOUR)],
+            "the oldest has waited for the window",
+            vec![recent(), job("old", 9 * HOUR, 20 * HOUR)],
             false,
             true,
         ),
         (
-            "a deadline comes near",
-            vec![young(), job("urgent", 10 * HOUR, 10 * HOUR + 39_000)],
+            "a deadline is near",
+            vec![recent(), job("urgent", 10 * HOUR, 10 * HOUR + 39_000)],
             false,
             true,
         ),
-        ("nothing waits, nothing loaded", vec![], false, false),
+        ("no jobs and no loaded model", vec![], false, false),
     ];
     for (name, jobs, is_loaded, expected) in cases {
         let now = Timestamp::at(10 * HOUR);
@@ -48,8 +49,8 @@
 }
 
 #[test]
-fn a_job_that_goes_back_rests_a_while() {
-    let board = JobBoard::default();
+fn requeued_job_is_in_backoff() {
+    let tracker = JobTracker::default();
     let queued = |name: &str| QueuedJob {
         job: name.into(),
         deployment: "planificador".into(),
@@ -57,34 +58,34 @@
         waited: Millis(0),
         deadline_in: Millis(HOUR),
     };
-    board.set(vec![queued("a"), queued("b")], Timestamp(0));
+    tracker.set(vec![queued("a"), queued("b")], Timestamp(0));
     let waiting = |now: u64| {
-        let groups = board.waiting(Timestamp::at(now));
+        let groups = tracker.waiting(Timestamp::at(now));
         groups
             .values()
             .flatten()
             .map(|job| job.job.to_string())
             .collect::<Vec<_>>()
     };
-    board.begin(&"a".into());
+    tracker.begin(&"a".into());
     assert_eq!(waiting(0), ["b"]);
-    board.end(&"a".into(), true, Timestamp(0));
+    tracker.end(&"a".into(), true, Timestamp(0));
     assert_eq!(waiting(999), ["b"]);
     assert_eq!(waiting(1_000), ["a", "b"]);
-    board.begin(&"a".into());
-    board.end(&"a".into(), true, Timestamp(1_000));
+    tracker.begin(&"a".into());
+    tracker.end(&"a".into(), true, Timestamp(1_000));
     assert_eq!(waiting(2_999), ["b"]);
-    board.begin(&"b".into());
-    board.end(&"b".into(), false, Timestamp(3_000));
+    tracker.begin(&"b".into());
+    tracker.end(&"b".into(), false, Timestamp(3_000));
     assert_eq!(waiting(3_000), ["a"]);
-    assert_eq!(board.running(), 0);
+    assert_eq!(tracker.running(), 0);
 }
 
-/// A router that has just started is told of jobs that were accepted before: their window goes
-/// on, it does not begin anew.
+/// The window of a job starts when the job is accepted. A router that starts later must not
+/// restart the window when it receives the job.
 #[test]
-fn a_job_that_waited_before_the_routers_start_is_due_all_the_same() {
-    let board = JobBoard::default();
+fn window_counts_time_before_the_router_start() {
+    let tracker = JobTracker::default();
     let now = Timestamp::default() + Millis(5_000);
     let queued = QueuedJob {
         job: "old".into(),
@@ -93,9 +94,9 @@
         waited: Millis(2 * HOUR),
         deadline_in: Millis(10 * HOUR),
     };
-    board.set(vec![queued], now);
-    for jobs in board.waiting(now).values() {
+    tracker.set(vec![queued], now);
+    for jobs in tracker.waiting(now).values() {
         assert!(is_due(jobs, false, Millis(HOUR), Millis(30_000), now));
     }
-    assert_eq!(board.waiting(now).len(), 1);
+    assert_eq!(tracker.waiting(now).len(), 1);
 }
--- a/crates/router/tests/ledger_resend.rs
+++ b/crates/router/tests/ledger_resend.rs
@@ -1,11 +1,13 @@
-//! Ledger calls survive the loss of a connection: the next one carries them
-//! under the same session and number; what may have been committed is never
-//! reported as not committed.
+//! Ledger calls survive the loss of a connection: they are sent again over the next
+//! one under the same session and number. A call that may have been committed is
+//! never reported as not committed.
 
 mod common;
 
-use common::{FakeController, PATIENCE, start_router};
-use courseshunt_router::control::{Doubt, LedgerCall, LedgerError, PendingCalls, ledger_channel};
+use common::{FakeController, WAIT_TIMEOUT, start_router};
+use courseshunt_router::control::{
+    InDoubtFlag, LedgerCall, LedgerError, PendingCalls, ledger_channel,
+};
 use courseshunt_state::{Command, CommandReply};
 use courseshunt_types::{GroupId, UnixMillis};
 use courseshunt_wire::message::{CallId, LedgerResult};
@@ -25,10 +27,11 @@
 struct Case {
     name: &'static str,
     events: &'static [Event],
-    /// Sends of the call in all.
+    /// Total number of sends of the call.
     sends: usize,
-    /// Whether it may be committed when the caller gives up afterwards.
-    doubt: bool,
+    /// Whether the call may have been committed if the caller stops waiting
+    /// afterwards.
+    in_doubt: bool,
 }
 
 const CASES: &[Case] = &[
@@ -36,49 +39,49 @@
         name: "never sent",
         events: &[],
         sends: 0,
-        doubt: false,
+        in_doubt: false,
     },
     Case {
         name: "sent, no answer",
         events: &[Event::Send],
         sends: 1,
-        doubt: true,
+        in_doubt: true,
     },
     Case {
         name: "not sent twice over one connection",
         events: &[Event::Send, Event::Send],
         sends: 1,
-        doubt: true,
+        in_doubt: true,
     },
     Case {
         name: "refused",
         events: &[Event::Send, Event::Refuse],
         sends: 1,
-        doubt: false,
+        in_doubt: false,
     },
     Case {
         name: "refused, then sent again",
         events: &[Event::Send, Event::Refuse, Event::Send],
         sends: 2,
-        doubt: true,
+        in_doubt: true,
     },
     Case {
         name: "lost, then refused: the first send may be committed",
         events: &[Event::Send, Event::Lose, Event::Send, Event::Refuse],
         sends: 2,
-        doubt: true,
+        in_doubt: true,
     },
     Case {
-        name: "undecided, then refused",
+        name: "undecided, then refused: the first send may be committed",
         events: &[Event::Send, Event::Undecided, Event::Send, Event::Refuse],
         sends: 2,
-        doubt: true,
+        in_doubt: true,
     },
     Case {
         name: "lost, then committed",
         events: &[Event::Send, Event::Lose, Event::Send, Event::Commit],
         sends: 2,
-        doubt: true,
+        in_doubt: true,
     },
 ];
 
@@ -86,7 +89,7 @@
     LedgerResult::Committed(CommandReply::Done { at: UnixMillis(7) })
 }
 
-fn play(pending: &mut PendingCalls, event: Event) -> usize {
+fn apply_event(pending: &mut PendingCalls, event: Event) -> usize {
     let id = CallId(1);
     match event {
         Event::Send => {
@@ -95,7 +98,7 @@
                 let Message::Ledger { call, sequence, .. } = message else {
                     panic!("expected a ledger call");
                 };
-                assert_eq!((call.0, sequence.0), (1, 1), "the number stays");
+                assert_eq!((call.0, sequence.0), (1, 1), "a resend keeps its number");
             }
             return due.len();
         }
@@ -108,38 +111,42 @@
 }
 
 #[test]
-fn a_call_is_sent_again_and_its_doubt_is_kept() {
+fn resent_call_stays_in_doubt_until_all_sends_are_refused() {
     for case in CASES {
         let mut pending = PendingCalls::default();
         let (reply, mut received) = oneshot::channel();
-        let doubt = Doubt::default();
+        let in_doubt = InDoubtFlag::default();
         pending.add(LedgerCall {
             group: GroupId(0),
             command: Command::AdvanceTime,
             reply,
-            doubt: doubt.clone(),
+            in_doubt: in_doubt.clone(),
         });
-        let sends: usize = case.events.iter().map(|one| play(&mut pending, *one)).sum();
+        let sends: usize = case
+            .events
+            .iter()
+            .map(|event| apply_event(&mut pending, *event))
+            .sum();
         assert_eq!(sends, case.sends, "{}", case.name);
-        assert_eq!(doubt.is_set(), case.doubt, "{}", case.name);
+        assert_eq!(in_doubt.is_set(), case.in_doubt, "{}", case.name);
         let answered = matches!(case.events.last(), Some(Event::Commit));
         assert_eq!(received.try_recv().is_ok(), answered, "{}", case.name);
         received.close();
         pending.connection_lost();
-        assert!(pending.due().is_empty(), "{}: nobody waits", case.name);
+        assert!(pending.due().is_empty(), "{}: no caller waits", case.name);
         assert!(pending.is_empty(), "{}", case.name);
     }
 }
 
 #[tokio::test]
-async fn without_a_controller_nothing_is_committed() {
+async fn call_without_a_controller_is_reported_as_not_committed() {
     let (client, _calls) = ledger_channel();
     let limit = Duration::from_millis(20);
     let result = client.commit_within(Command::AdvanceTime, limit).await;
     assert_eq!(result, Err(LedgerError::NotCommitted));
 }
 
-/// The next ledger call; `None` when the router left.
+/// The next ledger call; `None` when the router disconnected.
 async fn next_call(connection: &mut Connection) -> Option<(CallId, u64, Command)> {
     loop {
         let message = connection.receiver.receive().await.ok()??;
@@ -155,16 +162,19 @@
     }
 }
 
-/// Drops the first connection with its call, answers on the later ones, and
-/// returns the calls seen.
-async fn lose_then_answer(controller: FakeController, seen: mpsc::Sender<(u64, Command)>) {
+/// Drops the first connection after its call, answers the calls on later ones, and
+/// sends each received call to `received_calls`.
+async fn drop_then_answer(
+    controller: FakeController,
+    received_calls: mpsc::Sender<(u64, Command)>,
+) {
     let mut lost = false;
     loop {
         let (mut connection, _) = controller.router().await;
         let Some((call, number, command)) = next_call(&mut connection).await else {
             continue;
         };
-        seen.send((number, command)).await.unwrap();
+        received_calls.send((number, command)).await.unwrap();
         if !lost {
             lost = true;
             continue;
@@ -172,23 +182,25 @@
         let result = committed();
         let reply = Message::LedgerReply { call, result };
         let _ = connection.sender.send(&reply).await;
-        // Open until the router leaves.
+        // Keep the connection open until the router disconnects.
         while let Ok(Some(_)) = connection.receiver.receive().await {}
     }
 }
 
 #[tokio::test]
-async fn a_lost_connection_loses_no_call() {
+async fn call_is_resent_after_a_lost_connection() {
     let controller = FakeController::start().await;
     let router = start_router(&[controller.address]).await;
-    let (seen, mut calls) = mpsc::channel(100);
-    let server = tokio::spawn(lose_then_answer(controller, seen));
+    let (received_calls, mut calls) = mpsc::channel(100);
+    let server = tokio::spawn(drop_then_answer(controller, received_calls));
     let ledger = router.context().ledger.clone();
-    let answer = ledger.commit_within(Command::AdvanceTime, PATIENCE).await;
+    let answer = ledger
+        .commit_within(Command::AdvanceTime, WAIT_TIMEOUT)
+        .await;
     assert_eq!(answer, Ok(CommandReply::Done { at: UnixMillis(7) }));
     let first = calls.recv().await.unwrap();
-    let again = calls.recv().await.unwrap();
-    assert_eq!(first, again, "the number and the command stay");
+    let resent = calls.recv().await.unwrap();
+    assert_eq!(first, resent, "the resend has the same number and command");
     server.abort();
     router.stop().await;
 }
--- a/crates/router/tests/relay.rs
+++ b/crates/router/tests/relay.rs
@@ -1,9 +1,9 @@
 //! A router that reaches no controller fetches newer revisions from another
-//! router, and never an older one.
+//! router, and never applies an older one.
 
 mod common;
 
-use common::{FakeController, PATIENCE, start_router_named};
+use common::{FakeController, WAIT_TIMEOUT, start_router_named};
 use courseshunt_router::Router;
 use courseshunt_router::control::RelaySource;
 use courseshunt_types::time::MonotonicClock;
@@ -37,7 +37,8 @@
     })
 }
 
-/// Feeds a router until `condition` holds; it may connect again meanwhile.
+/// Sends feed messages to a router until `condition` holds; accepts a new
+/// connection if the router reconnects meanwhile.
 async fn feed_until(
     controller: &FakeController,
     feed: &mut Connection,
@@ -54,8 +55,8 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let fed = tokio::time::timeout(PATIENCE, feeding).await;
-    assert!(fed.is_ok(), "the feed was not taken in time");
+    let fed = tokio::time::timeout(WAIT_TIMEOUT, feeding).await;
+    assert!(fed.is_ok(), "timed out waiting until the feed is applied");
 }
 
 fn confirmation(revision: u64) -> Message {
@@ -66,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn a_router_without_a_controller_asks_another_router() {
+async fn router_without_a_controller_fetches_from_another_router() {
     let controllers = [FakeController::start().await, FakeController::start().await];
     let first = start_router_named("router-1", &[controllers[0].address]).await;
     let second = start_router_named("router-2", &[controllers[1].address]).await;
@@ -80,7 +81,7 @@
         second_view.is_synced() && second_view.routers().len() == 2
     })
     .await;
-    // The second router loses its controller for good.
+    // The second router permanently loses its controller.
     drop((second_feed, second_controller));
     let new = [update(6), confirmation(6), routers];
     feed_until(&first_controller, &mut first_feed, &new, || {
@@ -92,28 +93,31 @@
 }
 
 #[test]
-fn a_relay_passes_on_only_what_is_newer_and_how_old_it_is() {
+fn relay_sends_only_newer_revisions_with_the_confirmation_age() {
     let view = std::sync::Arc::new(courseshunt_router::configuration::ConfigurationView::default());
     let clock = MonotonicClock::start();
     let relay = RelaySource {
         view: view.clone(),
         clock,
     };
-    let ages = |messages: &[Message]| match messages.last() {
+    let confirmation_age = |messages: &[Message]| match messages.last() {
         Some(Message::FeedConfirmation { age, .. }) => *age,
         other => panic!("expected a confirmation, got {other:?}"),
     };
-    // Nothing was ever confirmed here: the confirmation is too old for anyone.
-    let nothing = relay.answer(Revision(0));
-    assert_eq!((nothing.len(), ages(&nothing)), (1, Millis(u64::MAX)));
+    // Without any confirmation the reported age is the maximum.
+    let unconfirmed = relay.answer(Revision(0));
+    assert_eq!(
+        (unconfirmed.len(), confirmation_age(&unconfirmed)),
+        (1, Millis(u64::MAX))
+    );
     let Message::Configuration(five) = update(5) else {
-        unreachable!("the helper makes an update")
+        unreachable!("`update` returns a configuration message")
     };
     view.apply_configuration(five);
     view.confirm(clock.now(), Revision(5));
     for (revision, messages) in [(0, 2), (4, 2), (5, 1), (6, 1)] {
         let answer = relay.answer(Revision(revision));
         assert_eq!(answer.len(), messages, "for a router at {revision}");
-        assert!(ages(&answer) < Millis(u64::MAX));
+        assert!(confirmation_age(&answer) < Millis(u64::MAX));
     }
 }
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Dispatchers with real connections between them, fed by hand.
+//! Dispatchers with loopback connections between them; the tests set their views.
 
 use courseshunt_queue::Ticket;
 use courseshunt_router::configuration::ConfigurationView;
@@ -23,22 +23,22 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// The only deployment.
+/// The only deployment in the configuration.
 pub const DEPLOYMENT: &str = "climate-ctl";
-/// Longest wait for a condition; met conditions end the wait at once.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of waits for a condition.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const KEY: &[u8] = b"a key of sixteen bytes or more";
 
-/// A grant or a refusal, some day.
+/// A pending grant or refusal.
 pub type Answer = JoinHandle<Result<GrantedRequest, Refusal>>;
 
-/// One dispatcher with its connections.
+/// A dispatcher with its connections.
 pub struct Node {
     pub router: RouterId,
     pub view: Arc<ConfigurationView>,
     pub dispatcher: DispatcherHandle,
     pub endpoint: RouterEndpoint,
-    life: CancellationToken,
+    stop: CancellationToken,
 }
 
 impl Node {
@@ -59,13 +59,13 @@
         let dispatcher = start(arguments).await.unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let wire_address = listener.local_addr().unwrap().to_string();
-        let life = CancellationToken::new();
+        let stop = CancellationToken::new();
         let peers = dispatcher.peer_context(key, identity);
         let relay = RelaySource {
             view: view.clone(),
             clock: MonotonicClock::start(),
         };
-        tokio::spawn(accept_holders(listener, peers, relay, life.clone()));
+        tokio::spawn(accept_holders(listener, peers, relay, stop.clone()));
         let endpoint = RouterEndpoint {
             router: router.clone(),
             incarnation,
@@ -78,17 +78,17 @@
             view,
             dispatcher,
             endpoint,
-            life,
+            stop,
         }
     }
 
-    /// Cuts the node off: its port closes and its sessions break.
-    pub fn die(&self) {
-        self.life.cancel();
+    /// Cuts the node off: closes its port and its sessions.
+    pub fn cut_off(&self) {
+        self.stop.cancel();
     }
 
-    /// Lets a request wait.
-    pub fn ask(&self, request: &str, class: PriorityClass, deadline: Duration) -> Answer {
+    /// Offers a ticket for a request. Returns the pending answer.
+    pub fn submit(&self, request: &str, class: PriorityClass, deadline: Duration) -> Answer {
         let ticket = Ticket {
             request: request.into(),
             holder: self.router.clone(),
@@ -108,7 +108,7 @@
     }
 }
 
-/// Nodes that know each other, a deployment, and its replicas.
+/// Connected nodes with one deployment and its replicas.
 pub struct Cluster {
     pub nodes: Vec<Node>,
     placement: u64,
@@ -132,20 +132,20 @@
             node.view.apply_configuration(configuration(slots));
             node.view.confirm(Timestamp(1), Revision(0));
         }
-        cluster.place(replicas);
+        cluster.set_replicas(replicas);
         let all: Vec<usize> = (0..routers).collect();
         cluster.set_fleet(&all);
         cluster
     }
 
-    /// Lets `replicas` runners serve.
-    pub fn place(&mut self, replicas: usize) {
+    /// Sets the number of ready replicas in the views of all nodes.
+    pub fn set_replicas(&mut self, replicas: usize) {
         let all: Vec<usize> = (0..self.nodes.len()).collect();
-        self.place_at(&all, replicas);
+        self.set_replicas_at(&all, replicas);
     }
 
-    /// Lets `replicas` runners serve, as far as `nodes` know.
-    pub fn place_at(&mut self, nodes: &[usize], replicas: usize) {
+    /// Sets the number of ready replicas in the views of `nodes`.
+    pub fn set_replicas_at(&mut self, nodes: &[usize], replicas: usize) {
         self.placement += 1;
         let runners = (0..replicas).map(|number| RunnerEndpoint {
             runner: format!("runner-{number}").into(),
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Tells all nodes which are live.
+    /// Sets the live routers in the views of all nodes.
     pub fn set_fleet(&mut self, live: &[usize]) {
         self.fleet += 1;
         let routers = live
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Number of the node that owns the queue, and of two others.
+    /// Numbers of the node that owns the queue and of two others.
     pub fn owner_and_others(&self) -> (usize, usize, usize) {
         let queue = courseshunt_queue::QueueKey {
             deployment: DEPLOYMENT.into(),
@@ -201,37 +201,41 @@
         (owner, others[0], *others.last().unwrap())
     }
 
-    /// Waits until `wanted` tickets wait at a node's own queues.
-    pub async fn until_waiting(&self, node: usize, wanted: u32) {
-        self.until("tickets wait at the owner", || {
+    /// Waits until `wanted` tickets are in the queues that a node owns.
+    pub async fn wait_until_queued(&self, node: usize, wanted: u32) {
+        self.wait_until("tickets wait at the owner", || {
             self.nodes[node].dispatcher.snapshot().waiting.total() == wanted
         })
         .await;
     }
 
-    /// Waits until `wanted` requests of a node's callers wait.
-    pub async fn until_held(&self, node: usize, wanted: usize) {
-        self.until("requests wait at their router", || {
+    /// Waits until `wanted` requests of a node's callers wait for a grant.
+    pub async fn wait_until_held(&self, node: usize, wanted: usize) {
+        self.wait_until("requests wait at their router", || {
             self.nodes[node].dispatcher.snapshot().held == wanted
         })
         .await;
     }
 
-    /// Waits for a condition.
-    pub async fn until(&self, what: &str, holds: impl Fn() -> bool) {
+    /// Waits until `holds` returns `true`.
+    pub async fn wait_until(&self, what: &str, holds: impl Fn() -> bool) {
         let waiting = async {
             while !holds() {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, waiting).await.expect(what);
+        tokio::time::timeout(WAIT_TIMEOUT, waiting)
+            .await
+            .expect(what);
     }
 }
 
-/// Waits for an answer.
+/// Waits for the answer of a node.
 pub async fn answer(answer: Answer) -> Result<GrantedRequest, Refusal> {
-    let answer = tokio::time::timeout(PATIENCE, answer).await;
-    answer.expect("an answer comes").unwrap()
+    let answer = tokio::time::timeout(WAIT_TIMEOUT, answer).await;
+    answer
+        .expect("an answer arrives before the timeout")
+        .unwrap()
 }
 
 fn configuration(slots: u32) -> ConfigurationUpdate {
