--- a/crates/router/examples/failover.rs
+++ b/crates/router/examples/failover.rs
@@ -21,9 +21,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Loss {
     /// It fails; the fleet view reports it at once.
-    DiesAndFleetTells,
+    OwnerFailedAndReported,
     /// It fails; the fleet view is stale.
-    Dies,
+    OwnerFailed,
     /// It is cut off: its connections stay open without traffic.
     SilentCut,
     /// It performs a planned stop.
@@ -35,8 +35,8 @@
     println!("time from the loss of the owner to the grant, {ROUNDS} rounds each:");
     for loss in [
         Loss::PlannedStop,
-        Loss::DiesAndFleetTells,
-        Loss::Dies,
+        Loss::OwnerFailedAndReported,
+        Loss::OwnerFailed,
         Loss::SilentCut,
     ] {
         let mut delays = Vec::new();
@@ -62,9 +62,9 @@
     match loss {
         Loss::SilentCut => cut.cancel(),
         Loss::PlannedStop => cluster.nodes[owner].dispatcher.stop(),
-        Loss::Dies | Loss::DiesAndFleetTells => cluster.nodes[owner].cut_off(),
+        Loss::OwnerFailed | Loss::OwnerFailedAndReported => cluster.nodes[owner].cut_off(),
     }
-    if loss == Loss::DiesAndFleetTells {
+    if loss == Loss::OwnerFailedAndReported {
         cluster.set_fleet(&[first, second]);
     }
     cluster.set_replicas_at(&[first, second], 1);
@@ -78,10 +78,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     tokio::spawn(async move {
-        let mut silent = Vec::new();
+        let mut open_connections = Vec::new();
         while let Ok((mut client, _)) = listener.accept().await {
             if cut.is_cancelled() {
-                silent.push(client);
+                open_connections.push(client);
                 continue;
             }
             let (target, cut) = (target.clone(), cut.clone());
--- a/crates/router/examples/router_bench/main.rs
+++ b/crates/router/examples/router_bench/main.rs
@@ -34,18 +34,18 @@
 
 #[tokio::main]
 async fn main() {
-    let wanted = std::env::args().nth(1);
-    let wants = |part: &str| wanted.as_deref().is_none_or(|wanted| wanted == part);
-    if wants("latency") {
+    let selected = std::env::args().nth(1);
+    let is_selected = |part: &str| selected.as_deref().is_none_or(|selected| selected == part);
+    if is_selected("latency") {
         latency().await;
     }
-    if wants("rate") {
+    if is_selected("rate") {
         rate().await;
     }
-    if wants("waiting") {
+    if is_selected("waiting") {
         waiting().await;
     }
-    if wants("goodput") {
+    if is_selected("goodput") {
         goodput().await;
     }
 }
--- a/crates/router/src/attempt/events.rs
+++ b/crates/router/src/attempt/events.rs
@@ -33,7 +33,7 @@
         Some(self.buffer.split_to(end + SEPARATOR.len()).freeze())
     }
 
-    /// Whether the buffered bytes exceed [`MAX_EVENT_BYTES`].
+    /// Whether the buffered bytes exceed `MAX_EVENT_BYTES`.
     #[must_use]
     pub fn is_too_long(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
--- a/crates/router/src/control/relay.rs
+++ b/crates/router/src/control/relay.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Requests a newer revision from up to [`PEERS_PER_ROUND`] other routers. Returns
+/// Requests a newer revision from up to `PEERS_PER_ROUND` other routers. Returns
 /// the new revision if one was applied.
 pub async fn fetch(view: &ConfigurationView, settings: &LinkSettings) -> Option<Revision> {
     let before = view.revision();
--- a/crates/router/src/jobs/tracker.rs
+++ b/crates/router/src/jobs/tracker.rs
@@ -13,7 +13,7 @@
 /// Maximum backoff.
 const MAX_BACKOFF: Millis = Millis::from_secs(60);
 
-/// A queued job, with count on this process's clock.
+/// A queued job, with times on this process's clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WaitingJob {
     /// Id of the job.
--- a/crates/router/tests/ledger_resend.rs
+++ b/crates/router/tests/ledger_resend.rs
@@ -72,7 +72,7 @@
         in_doubt: true,
     },
     Case {
-        name: "undecided, then refused: the first send may be committed",
+        name: "undecided, then refused",
         events: &[Event::Send, Event::Undecided, Event::Send, Event::Refuse],
         sends: 2,
         in_doubt: true,
--- a/crates/router/tests/owners.rs
+++ b/crates/router/tests/owners.rs
@@ -95,7 +95,7 @@
     let cluster = Cluster::start(3, 1, 1).await;
     let (owner, first, second) = cluster.owner_and_others();
     let running = answer(cluster.nodes[first].submit("running", PriorityClass::Batch, LONG)).await;
-    let disconnecting = cluster.nodes[first].submit("disconnecting", PriorityClass::Critical, LONG);
+    let disconnecting = cluster.nodes[first].submit("leaver", PriorityClass::Critical, LONG);
     cluster.wait_until_queued(owner, 1).await;
     let waiting = cluster.nodes[second].submit("waiting", PriorityClass::Batch, LONG);
     cluster.wait_until_queued(owner, 2).await;
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -155,7 +155,7 @@
             state: MachineState::Live,
         });
         let runners: Vec<RunnerEndpoint> = runners.collect();
-        let ready = runners.iter().map(|one| one.runner.clone()).collect();
+        let ready = runners.iter().map(|runner| runner.runner.clone()).collect();
         for node in nodes {
             let node = &self.nodes[*node];
             node.view.apply_placement(PlacementUpdate {
@@ -197,22 +197,22 @@
         let names: Vec<&RouterId> = self.nodes.iter().map(|node| &node.router).collect();
         let owner = courseshunt_queue::owner_of(&queue, names.iter().copied()).unwrap();
         let owner = names.iter().position(|name| *name == owner).unwrap();
-        let others: Vec<usize> = (0..names.len()).filter(|one| *one != owner).collect();
+        let others: Vec<usize> = (0..names.len()).filter(|number| *number != owner).collect();
         (owner, others[0], *others.last().unwrap())
     }
 
-    /// Waits until `wanted` tickets are in the queues that a node owns.
-    pub async fn wait_until_queued(&self, node: usize, wanted: u32) {
+    /// Waits until `expected` tickets are in the queues that a node owns.
+    pub async fn wait_until_queued(&self, node: usize, expected: u32) {
         self.wait_until("tickets wait at the owner", || {
-            self.nodes[node].dispatcher.snapshot().waiting.total() == wanted
+            self.nodes[node].dispatcher.snapshot().waiting.total() == expected
         })
         .await;
     }
 
-    /// Waits until `wanted` requests of a node's callers wait for a grant.
-    pub async fn wait_until_held(&self, node: usize, wanted: usize) {
+    /// Waits until `expected` requests of a node's callers wait for a grant.
+    pub async fn wait_until_held(&self, node: usize, expected: usize) {
         self.wait_until("requests wait at their router", || {
-            self.nodes[node].dispatcher.snapshot().held == wanted
+            self.nodes[node].dispatcher.snapshot().held == expected
         })
         .await;
     }
