--- a/crates/router/src/caller/metrics.rs
+++ b/crates/router/src/caller/metrics.rs
@@ -18,8 +18,8 @@
 
 impl RequestCounts {
     /// Counts one request.
-    pub fn record<T>(&self, answered: &Result<T, Refusal>) {
-        let result = match answered {
+    pub fn record<T>(&self, request_result: &Result<T, Refusal>) {
+        let result = match request_result {
             Ok(_) => ANSWERED,
             Err(refusal) => refusal.reason.code(),
         };
@@ -42,7 +42,7 @@
     }
 }
 
-/// The page, from the values of this moment.
+/// Renders the metrics page from the current values.
 pub fn page(context: &RouterContext) -> String {
     let mut page = MetricsPage::default();
     page.counters(
@@ -87,13 +87,13 @@
         "Memory reserved for callers' bodies.",
         context.bodies.used() as f64,
     );
-    dispatch(&mut page, &context.dispatcher.snapshot());
+    dispatch_metrics(&mut page, &context.dispatcher.snapshot());
     page.process();
     page.text()
 }
 
-/// Tickets, grants and the queues that this router owns.
-fn dispatch(page: &mut MetricsPage, snapshot: &DispatchSnapshot) {
+/// Adds the metrics of tickets, grants and the queues that this router owns.
+fn dispatch_metrics(page: &mut MetricsPage, snapshot: &DispatchSnapshot) {
     let waiting = PriorityClass::ALL.into_iter().flat_map(|class| {
         let owned = f64::from(snapshot.waiting.of(class));
         let fallback = f64::from(snapshot.waiting_fallback.of(class));
