--- a/crates/controller/src/peers/addresses.rs
+++ b/crates/controller/src/peers/addresses.rs
@@ -71,7 +71,7 @@
     }
 
     /// Notes the version of the protocol in which a member speaks; returns whether that is new.
-    pub fn speaks(&self, member: ControllerId, version: u8) -> bool {
+    pub fn record_protocol_version(&self, member: ControllerId, version: u8) -> bool {
         let versions = self.versions.lock();
         let mut versions = versions.unwrap_or_else(PoisonError::into_inner);
         versions.insert(member, version) != Some(version)
@@ -129,7 +129,7 @@
 
     /// Notes that a member has connected here: it is up, so a try to reach it
     /// that hangs is made anew.
-    pub fn heard_from(&self, member: ControllerId) {
+    pub fn record_inbound_connection(&self, member: ControllerId) {
         self.heard(member).notify_one();
     }
 
@@ -142,7 +142,7 @@
 
     /// Notes that `peer` lives at an address that stands under another identity; returns
     /// whether that is new.
-    pub fn met_stranger(&self, address: SocketAddr, peer: ControllerId) -> bool {
+    pub fn record_unexpected_peer(&self, address: SocketAddr, peer: ControllerId) -> bool {
         let strangers = self.strangers.lock();
         let mut strangers = strangers.unwrap_or_else(PoisonError::into_inner);
         strangers.retain(|_, one| one.met_at.elapsed() < STRANGER_LIFETIME);
@@ -153,7 +153,7 @@
 
     /// Who was met at others' addresses just now.
     #[must_use]
-    pub fn strangers(&self) -> Vec<(ControllerId, SocketAddr)> {
+    pub fn recent_unexpected_peers(&self) -> Vec<(ControllerId, SocketAddr)> {
         let strangers = self.strangers.lock();
         let strangers = strangers.unwrap_or_else(PoisonError::into_inner);
         let recent = strangers.iter();
--- a/crates/controller/src/peers/link.rs
+++ b/crates/controller/src/peers/link.rs
@@ -145,7 +145,10 @@
             self.met(address, &connection.peer);
             return Ok(());
         }
-        if self.addresses.speaks(self.to, connection.version) {
+        if self
+            .addresses
+            .record_protocol_version(self.to, connection.version)
+        {
             let version = connection.version;
             log::info!("peers: controller {} speaks protocol {version}", self.to);
         }
@@ -162,7 +165,7 @@
     /// Another process lives at this member's address.
     fn met(&self, address: SocketAddr, peer: &PeerIdentity) {
         let new = match peer {
-            PeerIdentity::Controller(peer) => self.addresses.met_stranger(address, *peer),
+            PeerIdentity::Controller(peer) => self.addresses.record_unexpected_peer(address, *peer),
             PeerIdentity::Router(..) => true,
         };
         if new {
--- a/crates/controller/tests/peer_links.rs
+++ b/crates/controller/tests/peer_links.rs
@@ -32,7 +32,7 @@
     };
     network.send(OTHER, message.clone());
     let (hanging, _) = listener.accept().await.expect("the first try");
-    addresses.heard_from(OTHER);
+    addresses.record_inbound_connection(OTHER);
     let received = async {
         loop {
             let (stream, from) = listener.accept().await.expect("another try");
@@ -74,8 +74,11 @@
     let place = "127.0.0.1:7000".parse().expect("an address");
     let met: Vec<bool> = [OTHER, OTHER, ControllerId(3), ControllerId(3)]
         .into_iter()
-        .map(|stranger| addresses.met_stranger(place, stranger))
+        .map(|stranger| addresses.record_unexpected_peer(place, stranger))
         .collect();
     assert_eq!(met, [true, false, true, false]);
-    assert_eq!(addresses.strangers(), [(ControllerId(3), place)]);
+    assert_eq!(
+        addresses.recent_unexpected_peers(),
+        [(ControllerId(3), place)]
+    );
 }
--- a/crates/coordinator/src/member_thread.rs
+++ b/crates/coordinator/src/member_thread.rs
@@ -79,8 +79,8 @@
     // All members listen on the same ports.
     let wire_address = SocketAddr::new(address.ip(), shared.settings.wire_port);
     shared.addresses.set(peer, wire_address);
-    shared.addresses.speaks(peer, version);
-    shared.addresses.heard_from(peer);
+    shared.addresses.record_protocol_version(peer, version);
+    shared.addresses.record_inbound_connection(peer);
     let (replies, reply_queue) = mpsc::channel(REPLY_QUEUE);
     tokio::select! {
         () = shared.stop.cancelled() => Ok(()),
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -110,7 +110,7 @@
     now: Timestamp,
 ) -> Vec<(ControllerId, SocketAddr)> {
     let mut applicants = shared.applicants();
-    for (stranger, address) in shared.addresses.strangers() {
+    for (stranger, address) in shared.addresses.recent_unexpected_peers() {
         shared.addresses.set(stranger, address);
         applicants.note(stranger, address, now);
     }
