--- a/crates/controller/src/demand.rs
+++ b/crates/controller/src/demand.rs
@@ -11,7 +11,7 @@
 
 /// Latest demand reports by deployment and router.
 #[derive(Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTracker {
     reports: Mutex<BTreeMap<DeploymentName, DeploymentDemand>>,
     changed: Notify,
 }
@@ -38,7 +38,7 @@
     pub count: WaitingByClass,
 }
 
-impl DemandBook {
+impl DemandTracker {
     fn lock(&self) -> MutexGuard<'_, BTreeMap<DeploymentName, DeploymentDemand>> {
         self.reports.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -19,7 +19,7 @@
 use courseshunt_settings::ControllerSettings;
 use courseshunt_types::time::MonotonicClock;
 use courseshunt_wire::ClusterKey;
-use demand::DemandBook;
+use demand::DemandTracker;
 use error::{BindSnafu, FileSnafu};
 use feed::{FeedSource, RouterRegistry};
 use peers::{AddressBook, PeerNetwork};
@@ -40,7 +40,7 @@
     /// Connections to the other controllers.
     pub peers: PeerNetwork,
     /// Demand, as reported by routers.
-    pub demand: Arc<DemandBook>,
+    pub demand: Arc<DemandTracker>,
     /// Registry of the live routers.
     pub routers: Arc<RouterRegistry>,
     /// Data and counters that all feeds share.
@@ -128,7 +128,12 @@
         feed::start(wire, &context);
         scheduler::start(&context);
         let advancing_time = timekeeper::run(context.clone());
-        tokio::spawn(context.stop.clone().run_until_cancelled_owned(advancing_time));
+        tokio::spawn(
+            context
+                .stop
+                .clone()
+                .run_until_cancelled_owned(advancing_time),
+        );
         let stop = context.stop.clone();
         let clearing_demand = peers::clear_on_leadership_loss(context.clone());
         tokio::spawn(stop.clone().run_until_cancelled_owned(clearing_demand));
@@ -139,7 +144,9 @@
             stop,
             handler,
         ));
-        log::info!("controller: serving operators on {http_address}, the cluster on {wire_address}");
+        log::info!(
+            "controller: serving operators on {http_address}, the cluster on {wire_address}"
+        );
         Ok(Self {
             http_address,
             wire_address,
--- a/crates/controller/src/peers/demand.rs
+++ b/crates/controller/src/peers/demand.rs
@@ -4,7 +4,7 @@
 use crate::ControllerContext;
 
 /// Forgets all demand whenever this member stops leading; runs until cancelled.
-pub async fn forget_when_deposed(context: ControllerContext) {
+pub async fn clear_on_leadership_loss(context: ControllerContext) {
     let mut status = context.replica.status();
     loop {
         if status.wait_for(|status| status.leads()).await.is_err() {
--- a/crates/controller/src/peers/mod.rs
+++ b/crates/controller/src/peers/mod.rs
@@ -10,7 +10,7 @@
 mod link;
 
 pub use addresses::AddressBook;
-pub use demand::forget_when_deposed;
+pub use demand::clear_on_leadership_loss;
 pub use inbound::{REPLY_QUEUE, send_replies, serve, serve_replica};
 
 use courseshunt_consensus::MembershipChange;
--- a/crates/controller/src/scheduler/mod.rs
+++ b/crates/controller/src/scheduler/mod.rs
@@ -4,7 +4,6 @@
 //! Invariant: only the leader acts. Its volatile state ([`SchedulerState`]) is rebuilt by
 //! probing the runners; everything that must survive a failover is in the log.
 
-mod book;
 mod client;
 mod explain;
 mod journal;
@@ -13,18 +12,19 @@
 mod plan;
 mod reconcile;
 mod repair;
+mod runner_table;
 mod takeover;
 mod usage;
 mod view;
 mod watch;
 
-pub use book::{RunnerBook, SeenRunner};
 pub use client::{OrderOutcome, RunnerClient};
 pub use explain::{Explanation, FittingRunner, explain};
 pub use journal::{DecisionJournal, JournalEntry};
 pub use loads::LoadTracker;
 pub use orders::{load_order, unload_order};
 pub use reconcile::{ReconcileAction, reconcile};
+pub use runner_table::{RunnerObservation, RunnerTable};
 pub use takeover::Takeover;
 pub use usage::{Moment, ReplicaUsage};
 pub use view::cluster_view;
@@ -41,7 +41,7 @@
 /// Volatile state of the scheduler.
 pub struct SchedulerState {
     /// Latest observations of the runners.
-    pub book: RunnerBook,
+    pub runners: RunnerTable,
     /// Latest decisions.
     pub journal: DecisionJournal,
     loads: Mutex<LoadTracker>,
@@ -53,7 +53,7 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter
             .debug_struct("SchedulerState")
-            .field("book", &self.book)
+            .field("runners", &self.runners)
             .finish_non_exhaustive()
     }
 }
@@ -73,7 +73,7 @@
     #[must_use]
     pub fn with(planner: Planner, loads: LoadTracker) -> Self {
         Self {
-            book: RunnerBook::default(),
+            runners: RunnerTable::default(),
             journal: DecisionJournal::default(),
             loads: Mutex::new(loads),
             usage: Mutex::default(),
--- a/crates/controller/src/scheduler/plan.rs
+++ b/crates/controller/src/scheduler/plan.rs
@@ -80,7 +80,7 @@
         replicas.next().is_some()
     });
     let holders = holders.map(|one| &one.runner);
-    let answered = |runner: &RunnerId| scheduler.book.answered_since(runner, takeover.began);
+    let answered = |runner: &RunnerId| scheduler.runners.answered_since(runner, takeover.began);
     takeover.may_plan(context.clock.now(), holders, answered)
 }
 
--- a/crates/controller/src/scheduler/repair.rs
+++ b/crates/controller/src/scheduler/repair.rs
@@ -36,7 +36,9 @@
             confirm(context, scheduler, replica, fence).await;
         }
         ReconcileAction::Withdraw(replica, fence) => {
-            log::warn!("scheduler: replica {replica} is missing from its runner's inventory; withdrawing");
+            log::warn!(
+                "scheduler: replica {replica} is missing from its runner's inventory; withdrawing"
+            );
             withdraw_failed(context, scheduler, replica, fence).await;
         }
         ReconcileAction::OrderUnloadUndecided(deployment, fence) => {
--- a/crates/controller/src/scheduler/book.rs
+++ b/crates/controller/src/scheduler/runner_table.rs
@@ -11,22 +11,22 @@
 
 /// Latest observation of each runner.
 #[derive(Debug, Default)]
-pub struct RunnerBook {
-    seen: Mutex<BTreeMap<RunnerId, Arc<SeenRunner>>>,
+pub struct RunnerTable {
+    seen: Mutex<BTreeMap<RunnerId, Arc<RunnerObservation>>>,
 }
 
 /// Latest inventory and load report of a runner.
 #[derive(Debug, Clone)]
-pub struct SeenRunner {
+pub struct RunnerObservation {
     /// The inventory.
     pub inventory: Inventory,
     /// The load; it may be older than the inventory.
     pub load: Option<LoadReport>,
     /// When the inventory was requested; its content is at least this recent.
-    pub asked_at: Timestamp,
+    pub requested_at: Timestamp,
 }
 
-impl SeenRunner {
+impl RunnerObservation {
     /// Running and waiting requests in the engine of a deployment.
     #[must_use]
     pub fn running(&self, deployment: &DeploymentName) -> u32 {
@@ -38,18 +38,18 @@
     /// Whether the observation is recent enough for the runner to count as reachable.
     #[must_use]
     pub fn is_fresh(&self, now: Timestamp) -> bool {
-        now.since(self.asked_at) < REACHABILITY_TIMEOUT
+        now.since(self.requested_at) < REACHABILITY_TIMEOUT
     }
 }
 
-impl RunnerBook {
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<RunnerId, Arc<SeenRunner>>> {
+impl RunnerTable {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<RunnerId, Arc<RunnerObservation>>> {
         self.seen.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The latest observation of a runner.
     #[must_use]
-    pub fn get(&self, runner: &RunnerId) -> Option<Arc<SeenRunner>> {
+    pub fn get(&self, runner: &RunnerId) -> Option<Arc<RunnerObservation>> {
         self.lock().get(runner).cloned()
     }
 
@@ -58,11 +58,11 @@
     pub fn answered_since(&self, runner: &RunnerId, moment: Timestamp) -> bool {
         self.lock()
             .get(runner)
-            .is_some_and(|seen| seen.asked_at >= moment)
+            .is_some_and(|seen| seen.requested_at >= moment)
     }
 
     /// Replaces the observation of a runner.
-    pub fn record(&self, seen: SeenRunner) {
+    pub fn record(&self, seen: RunnerObservation) {
         let runner = seen.inventory.runner.clone();
         self.lock().insert(runner, Arc::new(seen));
     }
--- a/crates/controller/src/scheduler/view.rs
+++ b/crates/controller/src/scheduler/view.rs
@@ -2,10 +2,10 @@
 //! routers' demand, in time linear in runners, replicas and deployments.
 
 use super::SchedulerState;
-use super::book::RunnerBook;
 use super::loads::LoadTracker;
+use super::runner_table::RunnerTable;
 use super::usage::{Moment, ReplicaUsage};
-use crate::demand::DemandBook;
+use crate::demand::DemandTracker;
 use courseshunt_placement::{
     CacheView, ClusterView, DemandView, DeploymentView, ReplicaView, RunnerView,
 };
@@ -22,12 +22,12 @@
 pub fn cluster_view(
     state: &ReplicatedState,
     scheduler: &SchedulerState,
-    demand: &DemandBook,
+    demand: &DemandTracker,
     moment: Moment,
 ) -> ClusterView {
     let mut loads = scheduler.loads();
     let mut usage = scheduler.usage();
-    adopt(state, &scheduler.book, &mut loads, moment);
+    adopt(state, &scheduler.runners, &mut loads, moment);
     usage.retain(|key| state.placement.replicas.contains_key(key));
     let runners = state.placement.runners.values();
     let runners = runners.map(|record| runner_view(state, scheduler, &loads, record, moment.now));
@@ -35,7 +35,14 @@
     let deployments = state.configuration.deployments.values();
     let deployments = deployments.map(|stored| {
         let demand = demand.view(&stored.document.name);
-        let replicas = replica_views(state, &scheduler.book, &mut usage, stored, &demand, moment);
+        let replicas = replica_views(
+            state,
+            &scheduler.runners,
+            &mut usage,
+            stored,
+            &demand,
+            moment,
+        );
         DeploymentView {
             document: Arc::new(stored.document.clone()),
             demand,
@@ -62,7 +69,7 @@
 }
 
 /// Adopts the loads in the log that this leader did not decide, and drops those that ended.
-fn adopt(state: &ReplicatedState, book: &RunnerBook, loads: &mut LoadTracker, moment: Moment) {
+fn adopt(state: &ReplicatedState, runners: &RunnerTable, loads: &mut LoadTracker, moment: Moment) {
     let replicas = &state.placement.replicas;
     let is_loading = |key: &ReplicaKey| {
         let record = replicas.get(key);
@@ -75,15 +82,15 @@
             .deployments
             .get(&record.replica.deployment);
         if let Some(stored) = stored {
-            let source = tier_on(book, &record.replica.runner, &stored.document.model);
+            let source = tier_on(runners, &record.replica.runner, &stored.document.model);
             loads.adopt(record, &stored.document, source, moment);
         }
     }
     loads.watch(moment.now);
 }
 
-fn tier_on(book: &RunnerBook, runner: &RunnerId, model: &ModelName) -> CacheTier {
-    let seen = book.get(runner);
+fn tier_on(runners: &RunnerTable, runner: &RunnerId, model: &ModelName) -> CacheTier {
+    let seen = runners.get(runner);
     let cached = seen.iter().flat_map(|seen| &seen.inventory.cached);
     let tiers = cached.filter(|item| item.model == *model);
     tiers
@@ -99,7 +106,7 @@
     record: &RunnerRecord,
     now: Timestamp,
 ) -> RunnerView {
-    let seen = scheduler.book.get(&record.runner);
+    let seen = scheduler.runners.get(&record.runner);
     let reachable = seen.as_ref().is_some_and(|seen| seen.is_fresh(now));
     let inventory = seen.as_ref().map(|seen| &seen.inventory);
     let host_memory_mib = inventory.map_or(0, |one| one.host_memory_mib);
@@ -132,7 +139,7 @@
 
 fn replica_views(
     state: &ReplicatedState,
-    book: &RunnerBook,
+    runners: &RunnerTable,
     usage: &mut ReplicaUsage,
     stored: &StoredDeployment,
     demand: &DemandView,
@@ -146,7 +153,7 @@
     };
     let records = state.placement.of_deployment(name);
     let views = records.map(|record| {
-        let seen = book.get(&record.replica.runner);
+        let seen = runners.get(&record.replica.runner);
         let running = seen.map_or(0, |seen| seen.running(name));
         let running = if only {
             running.max(demand.running)
--- a/crates/controller/src/scheduler/watch.rs
+++ b/crates/controller/src/scheduler/watch.rs
@@ -4,10 +4,10 @@
 //! Invariant: the tasks run only while this member is the leader.
 
 use super::SchedulerState;
-use super::book::SeenRunner;
 use super::client::{CALL_TIMEOUT, RunnerClient};
 use super::reconcile::reconcile;
 use super::repair::execute_action;
+use super::runner_table::RunnerObservation;
 use crate::ControllerContext;
 use courseshunt_state::{Command, ReplicaRecord, RunnerRecord};
 use courseshunt_types::runner_api::{Inventory, LoadPhase, MachineItem, MachineState};
@@ -73,7 +73,7 @@
                 }
             }
         }
-        scheduler.book.clear();
+        scheduler.runners.clear();
     }
 }
 
@@ -151,7 +151,11 @@
                 .map(|known| known.incarnation)
         };
         if let Some(incarnation) = incarnation {
-            log::info!("scheduler: platform lists {} as {:?}", machine.runner, machine.state);
+            log::info!(
+                "scheduler: platform lists {} as {:?}",
+                machine.runner,
+                machine.state
+            );
             let command = Command::SetRunnerState {
                 runner: machine.runner.clone(),
                 incarnation,
@@ -165,7 +169,7 @@
     /// not contain the new machine of the same name yet.
     fn is_listing_outdated(&self, machine: &MachineItem) -> bool {
         let now = self.context.clock.now();
-        let seen = self.scheduler.book.get(&machine.runner);
+        let seen = self.scheduler.runners.get(&machine.runner);
         machine.state == MachineState::Gone && seen.is_some_and(|seen| seen.is_fresh(now))
     }
 
@@ -196,20 +200,21 @@
 
     async fn probe(&self, machine: &MachineItem) -> Option<Duration> {
         let client = RunnerClient::new(&self.context, &machine.runner, &machine.address);
-        let asked_at = self.context.clock.now();
+        let requested_at = self.context.clock.now();
         let inventory = client.inventory().await?;
         let load = match inventory.deployments.is_empty() {
             true => None,
             false => client.load().await,
         };
         record_runner(&self.context, machine, &inventory).await;
-        self.scheduler.observe_inventory(&inventory, asked_at);
-        self.reconcile_runner(&client, &inventory, asked_at).await;
+        self.scheduler.observe_inventory(&inventory, requested_at);
+        self.reconcile_runner(&client, &inventory, requested_at)
+            .await;
         let pause = self.pause_after(&inventory);
-        self.scheduler.book.record(SeenRunner {
+        self.scheduler.runners.record(RunnerObservation {
             inventory,
             load,
-            asked_at,
+            requested_at,
         });
         Some(pause)
     }
@@ -218,7 +223,7 @@
         &self,
         client: &RunnerClient<'_>,
         inventory: &Inventory,
-        asked_at: Timestamp,
+        requested_at: Timestamp,
     ) {
         let records: Vec<ReplicaRecord> = {
             let state = self.context.replica.state();
@@ -230,7 +235,7 @@
         let actions = {
             let loads = self.scheduler.loads();
             reconcile(&records, inventory, |replica, fence| {
-                loads.was_accepted(replica, fence, asked_at)
+                loads.was_accepted(replica, fence, requested_at)
             })
         };
         for action in actions {
@@ -288,7 +293,11 @@
         replicated.placement.runners.get(&record.runner).cloned()
     };
     if known.as_ref() != Some(&record) {
-        log::info!("scheduler: recording runner {} as {:?}", record.runner, record.state);
+        log::info!(
+            "scheduler: recording runner {} as {:?}",
+            record.runner,
+            record.state
+        );
         submit(context, Command::RecordRunner(record)).await;
     }
 }
--- a/crates/controller/tests/scheduler_cores.rs
+++ b/crates/controller/tests/scheduler_cores.rs
@@ -154,8 +154,8 @@
         ("asked after", fence(5), 101, true),
         ("another decision", fence(6), 101, false),
     ];
-    for (case, fence, asked_at, expected) in cases {
-        let accepted = loads.was_accepted(&key(), fence, Timestamp(asked_at));
+    for (case, fence, requested_at, expected) in cases {
+        let accepted = loads.was_accepted(&key(), fence, Timestamp(requested_at));
         assert_eq!(accepted, expected, "{case}");
     }
 }
--- a/crates/controller/tests/scheduler_runners.rs
+++ b/crates/controller/tests/scheduler_runners.rs
@@ -81,7 +81,7 @@
     site.list("r1", hung.local_addr().unwrap(), MachineState::Live);
     let context = site.controller().context();
     until("r1 is silent", || {
-        let seen = context.scheduler.book.get(&"r1".into());
+        let seen = context.scheduler.runners.get(&"r1".into());
         seen.is_none_or(|seen| !seen.is_fresh(context.clock.now()))
     })
     .await;
--- a/crates/lab/src/simulate/control/mod.rs
+++ b/crates/lab/src/simulate/control/mod.rs
@@ -9,7 +9,7 @@
 
 use super::event::Event;
 use super::world::World;
-use courseshunt_controller::demand::DemandBook;
+use courseshunt_controller::demand::DemandTracker;
 use courseshunt_controller::scheduler::{LoadTracker, Moment, SchedulerState, Takeover};
 use courseshunt_placement::{Decision, PlacementPolicy, Planner};
 use courseshunt_standin::model::StoreModelSettings;
@@ -45,7 +45,7 @@
     /// The scheduler's soft state.
     pub scheduler: SchedulerState,
     /// Demand. Soft.
-    pub demand: DemandBook,
+    pub demand: DemandTracker,
     /// The platform's list, as the leader read it last.
     pub listed: BTreeMap<RunnerId, MachineState>,
     takeover: Takeover,
@@ -71,7 +71,7 @@
             scheduler: scheduler(&policy, store),
             policy,
             store,
-            demand: DemandBook::default(),
+            demand: DemandTracker::default(),
             listed: BTreeMap::new(),
             takeover: Takeover {
                 term: Term(1),
@@ -88,7 +88,7 @@
         self.term += 1;
         self.leading = true;
         self.scheduler = scheduler(&self.policy, self.store);
-        self.demand = DemandBook::default();
+        self.demand = DemandTracker::default();
         self.takeover = Takeover {
             term: Term(self.term),
             began: now,
--- a/crates/lab/src/simulate/control/planning.rs
+++ b/crates/lab/src/simulate/control/planning.rs
@@ -82,7 +82,7 @@
         let in_service = runners.filter(|one| one.state != MachineState::Gone);
         let holders = in_service.filter(|one| placement.on_runner(&one.runner).next().is_some());
         let began = control.takeover.began;
-        let book = &control.scheduler.book;
+        let book = &control.scheduler.runners;
         let answered = |runner: &RunnerId| book.answered_since(runner, began);
         let holders = holders.map(|one| &one.runner);
         control.takeover.may_plan(self.now, holders, answered)
--- a/crates/lab/src/simulate/control/watching.rs
+++ b/crates/lab/src/simulate/control/watching.rs
@@ -3,7 +3,7 @@
 
 use crate::simulate::event::{Event, RunnerNumber};
 use crate::simulate::world::World;
-use courseshunt_controller::scheduler::{ReconcileAction, SeenRunner, reconcile};
+use courseshunt_controller::scheduler::{ReconcileAction, RunnerObservation, reconcile};
 use courseshunt_state::{Command, ReplicaRecord, RunnerRecord};
 use courseshunt_types::runner_api::{
     Inventory, MachineState, OrderAction, OrderRejection, OrderRequest,
@@ -62,12 +62,12 @@
         self.record_runner(&inventory);
         let scheduler = &self.control.scheduler;
         scheduler.loads().observe_inventory(&inventory, now);
-        let load = scheduler.book.get(&inventory.runner);
+        let load = scheduler.runners.get(&inventory.runner);
         let load = load.and_then(|seen| seen.load.clone());
-        scheduler.book.record(SeenRunner {
+        scheduler.runners.record(RunnerObservation {
             inventory: inventory.clone(),
             load,
-            asked_at: now,
+            requested_at: now,
         });
         for action in self.differences(&inventory) {
             self.repair(runner, action);
@@ -214,11 +214,11 @@
             return;
         }
         let load = self.fleet.runners[runner].model.load_report();
-        let book = &self.control.scheduler.book;
+        let book = &self.control.scheduler.runners;
         if let Some(seen) = book.get(&load.runner) {
-            book.record(SeenRunner {
+            book.record(RunnerObservation {
                 load: Some(load),
-                ..SeenRunner::clone(&seen)
+                ..RunnerObservation::clone(&seen)
             });
         }
     }
@@ -241,7 +241,7 @@
             self.inventory_changed(runner);
             return;
         }
-        let seen = self.control.scheduler.book.get(&name);
+        let seen = self.control.scheduler.runners.get(&name);
         let answers = seen.is_some_and(|seen| seen.is_fresh(self.now));
         if state == MachineState::Gone && answers {
             self.push(LIST_INTERVAL, Event::Listed { runner, state });
