--- a/crates/controller/src/peers/addresses.rs
+++ b/crates/controller/src/peers/addresses.rs
@@ -1,9 +1,9 @@
-//! Wire addresses of the members, one book for a process: from its settings or its disk,
-//! from whoever connects here, from answers to a wish to join, and from the replicated
-//! state, which wins.
+//! Wire addresses of the members, shared within a process. Sources are the settings, the disk,
+//! inbound connections, responses to join requests, and the replicated state, which overrides
+//! the others.
 //!
-//! Invariant: a process that lives at another one's address is never taken for it; it is
-//! told as a stranger.
+//! Invariant: a process that answers at the address of another member is never treated as that
+//! member; it is recorded as an unexpected peer.
 
 use courseshunt_state::members::MemberAddresses;
 use courseshunt_types::ControllerId;
@@ -17,35 +17,36 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A stranger that was not met for so long is forgotten, so that it is told again.
-const STRANGER_LIFETIME: Duration = Duration::from_secs(30);
-/// A stranger met within this time lives there; addresses in use are tried far more often.
-const MET_LATELY: Duration = Duration::from_secs(2);
+/// An unexpected peer expires after this time without contact, so that it is logged again.
+const UNEXPECTED_PEER_TTL: Duration = Duration::from_secs(30);
+/// An unexpected peer contacted within this time counts as present at the address; addresses in
+/// use are dialled far more often.
+const RECENT_CONTACT: Duration = Duration::from_secs(2);
 
-/// A process at an address that stands under another identity.
+/// A process at an address that is recorded for another member.
 #[derive(Debug, Clone, Copy)]
-struct Stranger {
+struct UnexpectedPeer {
     peer: ControllerId,
-    met_at: Instant,
+    contacted_at: Instant,
 }
 
-/// See the module; cheap to clone.
+/// Addresses and protocol versions of the members; cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct AddressBook {
     addresses: Arc<RwLock<BTreeMap<ControllerId, SocketAddr>>>,
-    heard: Arc<Mutex<BTreeMap<ControllerId, Arc<Notify>>>>,
-    strangers: Arc<Mutex<BTreeMap<SocketAddr, Stranger>>>,
-    /// Version of the protocol in which each member was last spoken with.
+    inbound: Arc<Mutex<BTreeMap<ControllerId, Arc<Notify>>>>,
+    unexpected_peers: Arc<Mutex<BTreeMap<SocketAddr, UnexpectedPeer>>>,
+    /// Protocol version of the latest connection with each member.
     versions: Arc<Mutex<BTreeMap<ControllerId, u8>>>,
     source: Option<IpAddr>,
-    /// Port on which members listen for each other, where it is another than that of their
+    /// Port on which members listen for each other, if it differs from the port of their
     /// addresses.
     member_port: Option<u16>,
 }
 
 impl AddressBook {
-    /// A book of a member that dials from `source`; `None` lets the system
-    /// choose.
+    /// Creates an address book for a member that dials from `source`; `None` lets the operating
+    /// system choose.
     #[must_use]
     pub fn dialling_from(source: Option<IpAddr>) -> Self {
         Self {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Has members dialled at this port of their machines.
+    /// Dials members at this port instead of the port of their addresses.
     #[must_use]
     pub fn at_member_port(self, port: u16) -> Self {
         Self {
@@ -63,37 +64,37 @@
         }
     }
 
-    /// Where a process is dialled as a member that stands under `address`.
+    /// The address at which the member recorded under `address` is dialled.
     #[must_use]
     pub fn dialled(&self, address: SocketAddr) -> SocketAddr {
         let port = self.member_port.unwrap_or(address.port());
         SocketAddr::new(address.ip(), port)
     }
 
-    /// Notes the version of the protocol in which a member speaks; returns whether that is new.
+    /// Records the protocol version of a connection with a member; returns whether it changed.
     pub fn record_protocol_version(&self, member: ControllerId, version: u8) -> bool {
         let versions = self.versions.lock();
         let mut versions = versions.unwrap_or_else(PoisonError::into_inner);
         versions.insert(member, version) != Some(version)
     }
 
-    /// Whether these members, this one included, are all known to be of the present build: none
-    /// has to read what production's build can read alone.
+    /// Whether all of these members, which include this one, are known to use the current
+    /// protocol version, so that no member needs the snapshot format of the previous release.
     #[must_use]
-    pub fn all_speak_present(&self, members: &BTreeSet<ControllerId>) -> bool {
+    pub fn all_at_current_version(&self, members: &BTreeSet<ControllerId>) -> bool {
         let versions = self.versions.lock();
         let versions = versions.unwrap_or_else(PoisonError::into_inner);
-        let present = |member| versions.get(member) == Some(&PROTOCOL_VERSION);
-        let unknown = members.iter().filter(|member| !present(member));
-        // It speaks with itself by no connection.
-        unknown.count() <= 1
+        let is_current = |member| versions.get(member) == Some(&PROTOCOL_VERSION);
+        let others = members.iter().filter(|member| !is_current(member));
+        // This member has no connection, and so no recorded version, of its own.
+        others.count() <= 1
     }
 
-    /// Connects to the member that stands under `address`. Members of production's build have
-    /// no port of their own for each other: they are met at the address itself.
+    /// Connects to the member recorded under `address`. Members of the previous release have no
+    /// separate member port and are reached at the address itself.
     ///
     /// # Errors
-    /// When it can't be reached, is silent, or does not know the key.
+    /// When the member can't be reached, does not respond in time, or does not have the key.
     pub async fn connect(
         &self,
         address: SocketAddr,
@@ -106,14 +107,14 @@
         if dialled == address || !is_refused(&connected) {
             return connected;
         }
-        let earlier = connect_within(limit, self.source, address, key, identity).await;
-        match earlier {
+        let previous_release = connect_within(limit, self.source, address, key, identity).await;
+        match previous_release {
             Ok(connection) if connection.is_earlier() => Ok(connection),
             _ => connected,
         }
     }
 
-    /// Where this member dials from.
+    /// Source address of outgoing connections.
     #[must_use]
     pub fn source(&self) -> Option<IpAddr> {
         self.source
@@ -127,37 +128,37 @@
             .insert(member, address);
     }
 
-    /// Notes that a member has connected here: it is up, so a try to reach it
-    /// that hangs is made anew.
+    /// Records that a member has connected here. It is reachable, so a hanging attempt to dial it
+    /// is restarted.
     pub fn record_inbound_connection(&self, member: ControllerId) {
-        self.heard(member).notify_one();
+        self.inbound_signal(member).notify_one();
     }
 
-    /// Told each time a member connects here.
-    pub(super) fn heard(&self, member: ControllerId) -> Arc<Notify> {
-        let heard = self.heard.lock();
-        let mut heard = heard.unwrap_or_else(PoisonError::into_inner);
-        heard.entry(member).or_default().clone()
+    /// Signal that fires each time a member connects here.
+    pub(super) fn inbound_signal(&self, member: ControllerId) -> Arc<Notify> {
+        let inbound = self.inbound.lock();
+        let mut inbound = inbound.unwrap_or_else(PoisonError::into_inner);
+        inbound.entry(member).or_default().clone()
     }
 
-    /// Notes that `peer` lives at an address that stands under another identity; returns
+    /// Records that `peer` answers at an address that is recorded for another member; returns
     /// whether that is new.
     pub fn record_unexpected_peer(&self, address: SocketAddr, peer: ControllerId) -> bool {
-        let strangers = self.strangers.lock();
-        let mut strangers = strangers.unwrap_or_else(PoisonError::into_inner);
-        strangers.retain(|_, one| one.met_at.elapsed() < STRANGER_LIFETIME);
-        let met_at = Instant::now();
-        let before = strangers.insert(address, Stranger { peer, met_at });
-        before.is_none_or(|before| before.peer != peer)
+        let peers = self.unexpected_peers.lock();
+        let mut peers = peers.unwrap_or_else(PoisonError::into_inner);
+        peers.retain(|_, one| one.contacted_at.elapsed() < UNEXPECTED_PEER_TTL);
+        let contacted_at = Instant::now();
+        let previous = peers.insert(address, UnexpectedPeer { peer, contacted_at });
+        previous.is_none_or(|previous| previous.peer != peer)
     }
 
-    /// Who was met at others' addresses just now.
+    /// Peers that recently answered at addresses of other members.
     #[must_use]
     pub fn recent_unexpected_peers(&self) -> Vec<(ControllerId, SocketAddr)> {
-        let strangers = self.strangers.lock();
-        let strangers = strangers.unwrap_or_else(PoisonError::into_inner);
-        let recent = strangers.iter();
-        let recent = recent.filter(|(_, one)| one.met_at.elapsed() < MET_LATELY);
+        let peers = self.unexpected_peers.lock();
+        let peers = peers.unwrap_or_else(PoisonError::into_inner);
+        let recent = peers.iter();
+        let recent = recent.filter(|(_, one)| one.contacted_at.elapsed() < RECENT_CONTACT);
         recent.map(|(address, one)| (one.peer, *address)).collect()
     }
 
@@ -168,13 +169,13 @@
         addresses.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Sets the addresses that the replicated state holds.
+    /// Sets the addresses of the replicated state.
     pub fn set_all(&self, members: &MemberAddresses) {
         for (member, address) in members {
             match address.parse() {
                 Ok(address) if self.get(*member) != Some(address) => self.set(*member, address),
                 Ok(_) => {}
-                Err(_) => log::warn!("peers: member {member} has no valid address: {address}"),
+                Err(_) => log::warn!("peers: invalid address of member {member}: {address}"),
             }
         }
     }
--- a/crates/controller/src/peers/demand.rs
+++ b/crates/controller/src/peers/demand.rs
@@ -1,9 +1,10 @@
-//! Demand belongs to the leader: a member that no longer leads forgets what
-//! routers and other members reported to it.
+//! Clears demand at a member that loses the leadership.
+//!
+//! Invariant: only the leader keeps demand reports.
 
 use crate::ControllerContext;
 
-/// Forgets all demand whenever this member stops leading; runs until cancelled.
+/// Clears all demand reports whenever this member loses the leadership; runs until cancelled.
 pub async fn clear_on_leadership_loss(context: ControllerContext) {
     let mut status = context.replica.status();
     loop {
--- a/crates/controller/src/peers/inbound.rs
+++ b/crates/controller/src/peers/inbound.rs
@@ -1,4 +1,4 @@
-//! Serves a connection that another controller made.
+//! Serves inbound connections of other controllers.
 
 use super::link::ALIVE_INTERVAL;
 use crate::ControllerContext;
@@ -11,10 +11,10 @@
 use std::collections::BTreeSet;
 use tokio::sync::mpsc;
 
-/// Replies that wait to be sent.
+/// Capacity of a connection's queue of replies.
 pub const REPLY_QUEUE: usize = 1024;
 
-/// Serves the connection until it ends.
+/// Serves a connection until it ends, and drops the demand that was relayed over it.
 ///
 /// # Errors
 /// When the connection breaks or a frame can't be read.
@@ -44,7 +44,7 @@
     ended
 }
 
-/// Sends queued replies, and a sign of life when there are none.
+/// Sends queued replies, and a heartbeat at a fixed interval.
 ///
 /// # Errors
 /// When the connection breaks.
@@ -69,19 +69,19 @@
     peer: ControllerId,
     context: &'a ControllerContext,
     replies: mpsc::Sender<Message>,
-    /// Routers whose demand came over this connection.
+    /// Routers whose demand was relayed over this connection.
     routers: BTreeSet<RouterId>,
 }
 
 impl Inbound<'_> {
     async fn receive_all(&mut self, mut receiver: Receiver) -> Result<(), WireError> {
         while let Some(message) = receiver.receive().await? {
-            self.take(message);
+            self.handle(message);
         }
         Ok(())
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let replica = &self.context.replica;
         let Some(message) = serve_replica(self.peer, message, replica, &self.replies) else {
             return;
@@ -91,16 +91,19 @@
                 router,
                 reports,
                 gone,
-            } => self.take_demand(router, reports, gone),
+            } => self.handle_demand(router, reports, gone),
             Message::RouterReport(report) => {
                 let now = self.context.clock.now();
                 self.context.routers.take_report(self.peer, report, now);
             }
-            other => log::warn!("peers: controller {} sent {other:?}", self.peer),
+            other => log::warn!(
+                "peers: controller {} sent an unexpected message: {other:?}",
+                self.peer
+            ),
         }
     }
 
-    fn take_demand(&mut self, router: RouterId, reports: Vec<DemandReport>, gone: bool) {
+    fn handle_demand(&mut self, router: RouterId, reports: Vec<DemandReport>, gone: bool) {
         let demand = &self.context.demand;
         if gone || !self.context.replica.leads() {
             demand.forget(&router);
@@ -114,8 +117,7 @@
     }
 }
 
-/// Handles what a member sends to another member's replica; gives any other
-/// message back.
+/// Handles a message that is addressed to the replica; returns any other message to the caller.
 pub fn serve_replica(
     peer: ControllerId,
     message: Message,
@@ -155,7 +157,7 @@
     let reply = match CommandEnvelope::from_payload(envelope) {
         Ok(envelope) => replica.propose_here(envelope).await,
         Err(error) => {
-            log::warn!("peers: a forwarded command can't be read: {error}");
+            log::warn!("peers: decoding a forwarded command failed: {error}");
             Err(ProposeError::Undecided)
         }
     };
--- a/crates/controller/src/peers/link.rs
+++ b/crates/controller/src/peers/link.rs
@@ -1,5 +1,5 @@
-//! The connection to one other member, made again whenever it breaks or falls
-//! silent.
+//! Outgoing connection to one other member. It is re-established, once there is a message to
+//! send, after it breaks or times out.
 
 use super::addresses::AddressBook;
 use courseshunt_types::ControllerId;
@@ -15,19 +15,19 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-/// Messages that wait to be sent to one member; more are dropped.
-const QUEUE: usize = 4096;
-/// Pause before the member is dialled again.
+/// Capacity of the queue of messages to one member; further messages are dropped.
+const QUEUE_CAPACITY: usize = 4096;
+/// Pause before a member is dialled again.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest try to connect.
-const LONGEST_DIAL: Duration = Duration::from_secs(1);
-/// A connection on which nothing arrives for so long is given up. The other
-/// side sends at least every [`ALIVE_INTERVAL`].
-const SILENCE_LIMIT: Duration = Duration::from_secs(2);
-/// Time between signs of life of the accepting side.
+/// Upper bound of the dial timeout.
+const MAX_DIAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// A connection is closed when nothing arrives for this long. The accepting side sends at least
+/// every [`ALIVE_INTERVAL`].
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between heartbeats of the accepting side.
 pub(super) const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Calls that wait for their replies; cheap to clone.
+/// Calls in flight, by their ids; cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PendingCalls {
     calls: Arc<Mutex<BTreeMap<CallId, oneshot::Sender<Message>>>>,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Sending side of a link.
+/// Queue of messages to a link's member.
 #[derive(Debug)]
 pub(super) struct LinkHandle {
     queue: mpsc::Sender<Message>,
@@ -68,7 +68,7 @@
     }
 }
 
-/// See the module.
+/// Connection to one member, with its parameters.
 pub(super) struct Link {
     pub(super) to: ControllerId,
     pub(super) key: ClusterKey,
@@ -79,19 +79,19 @@
 
 impl Link {
     pub(super) fn start(self, runtime: &Handle, stop: CancellationToken) -> LinkHandle {
-        let (queue, messages) = mpsc::channel(QUEUE);
+        let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
         runtime.spawn(stop.run_until_cancelled_owned(self.run(messages)));
         LinkHandle { queue }
     }
 
     async fn run(self, mut messages: mpsc::Receiver<Message>) {
         let mut reachable = true;
-        let mut limit = DialLimit::growing_to(LONGEST_DIAL);
+        let mut limit = DialLimit::growing_to(MAX_DIAL_TIMEOUT);
         let mut first = None;
         loop {
             if first.is_none() {
-                // Dialled only for a message: a member that is gone gets none, and its
-                // address would be dialled for ever.
+                // The member is dialled only for a message: a removed member gets none, and its
+                // address would otherwise be dialled for ever.
                 first = messages.recv().await;
             }
             if first.is_none() {
@@ -101,21 +101,24 @@
             let ended = serving.await;
             if let Err(error) = ended {
                 if reachable {
-                    log::warn!("peers: controller {}: {error}", self.to);
+                    log::warn!(
+                        "peers: connection to controller {} failed: {error}",
+                        self.to
+                    );
                 }
                 reachable = false;
             } else {
                 reachable = true;
             }
-            let heard = self.addresses.heard(self.to);
-            if tokio::time::timeout(RECONNECT_PAUSE, heard.notified())
+            let inbound = self.addresses.inbound_signal(self.to);
+            if tokio::time::timeout(RECONNECT_PAUSE, inbound.notified())
                 .await
                 .is_ok()
             {
-                // It is up again; what waits is most likely for it.
+                // The member is reachable again, and the queued messages are likely still valid.
                 continue;
             }
-            // What waited meanwhile is out of date; its senders repeat it.
+            // The queued messages are outdated; their senders repeat what matters.
             first = None;
             while messages.try_recv().is_ok() {}
         }
@@ -130,11 +133,11 @@
         let Some(address) = self.addresses.get(self.to) else {
             return Ok(());
         };
-        let heard = self.addresses.heard(self.to);
+        let inbound = self.addresses.inbound_signal(self.to);
         let dialled = tokio::select! {
             dialled = self.dial(address, limit) => dialled,
-            // Its first packet may have been lost while the member was down.
-            () = heard.notified() => self.dial(address, limit).await,
+            // The first packet of the attempt may have been lost while the member was down.
+            () = inbound.notified() => self.dial(address, limit).await,
         };
         if matches!(dialled, Err(WireError::TimedOut { .. })) {
             limit.timed_out();
@@ -142,7 +145,7 @@
         let connection = dialled?;
         limit.succeeded();
         if connection.peer != PeerIdentity::Controller(self.to) {
-            self.met(address, &connection.peer);
+            self.report_unexpected_peer(address, &connection.peer);
             return Ok(());
         }
         if self
@@ -162,14 +165,17 @@
         }
     }
 
-    /// Another process lives at this member's address.
-    fn met(&self, address: SocketAddr, peer: &PeerIdentity) {
-        let new = match peer {
+    /// Records and logs that another process answers at this member's address.
+    fn report_unexpected_peer(&self, address: SocketAddr, peer: &PeerIdentity) {
+        let is_new = match peer {
             PeerIdentity::Controller(peer) => self.addresses.record_unexpected_peer(address, *peer),
             PeerIdentity::Router(..) => true,
         };
-        if new {
-            log::warn!("peers: {address} is {peer}, not {}", self.to);
+        if is_new {
+            log::warn!(
+                "peers: {address} answers as {peer}, expected controller {}",
+                self.to
+            );
         }
     }
 
@@ -183,7 +189,7 @@
 
     async fn receive_all(&self, mut receiver: Receiver) -> Result<(), WireError> {
         loop {
-            let received = tokio::time::timeout(SILENCE_LIMIT, receiver.receive()).await;
+            let received = tokio::time::timeout(RECEIVE_TIMEOUT, receiver.receive()).await;
             let Ok(received) = received else {
                 return Err(WireError::TimedOut {
                     step: "receive",
@@ -200,7 +206,10 @@
                     self.pending.finish(*call, message);
                 }
                 Message::PeerAlive => {}
-                other => log::warn!("peers: unexpected message {other:?}"),
+                other => log::warn!(
+                    "peers: controller {} sent an unexpected message: {other:?}",
+                    self.to
+                ),
             }
         }
     }
--- a/crates/controller/src/peers/mod.rs
+++ b/crates/controller/src/peers/mod.rs
@@ -1,8 +1,8 @@
 //! Connections between controllers.
 //!
-//! Each controller keeps one connection to each other member and sends only on
-//! those; replies to its calls come back on the same. Messages may get lost:
-//! consensus and calls repeat what matters.
+//! Invariant: a controller sends its messages only on the connections that it opened, one for
+//! each other member, and receives the replies to its calls on the same connection. Messages may
+//! be lost; consensus and the callers retry what matters.
 
 mod addresses;
 mod demand;
@@ -27,14 +27,14 @@
 use tokio::runtime::Handle;
 use tokio_util::sync::CancellationToken;
 
-/// The group that every controller serves.
+/// The consensus group that every controller serves.
 pub const GROUP: GroupId = GroupId(0);
-/// Longest wait for the reply to a call.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for a change of the membership; a learner may have to catch up.
+/// Timeout of a membership change, during which a learner may have to catch up.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(70);
 
-/// Sends to the other controllers; cheap to clone.
+/// Sends messages and calls to the other controllers; cheap to clone.
 #[derive(Debug, Clone)]
 pub struct PeerNetwork {
     shared: Arc<Shared>,
@@ -48,14 +48,14 @@
     links: Mutex<BTreeMap<ControllerId, LinkHandle>>,
     pending: PendingCalls,
     last_call: AtomicU64,
-    /// Where links run, whoever sends the first message on them.
+    /// Runtime on which links run, independent of the thread that sends the first message.
     runtime: Handle,
     stop: CancellationToken,
 }
 
 impl PeerNetwork {
-    /// A network without connections; they are made when first needed, on the runtime
-    /// that this is called on.
+    /// Creates a network without connections. They are opened on first use, on the runtime that
+    /// calls this function.
     #[must_use]
     pub fn new(
         id: ControllerId,
@@ -83,7 +83,7 @@
         &self.shared.addresses
     }
 
-    /// Sends a message, or drops it when the member can't be reached.
+    /// Queues a message; it is dropped when the member can't be reached.
     pub fn send(&self, to: ControllerId, message: Message) {
         let mut links = self
             .shared
@@ -120,7 +120,7 @@
         replied.ok()?.ok()
     }
 
-    /// Has another member commit an encoded command; `None` when that is not known.
+    /// Forwards an encoded command to another member; `None` when the result is unknown.
     pub async fn forward(&self, to: ControllerId, envelope: Vec<u8>) -> Option<CommandReply> {
         let reply = self.call(to, CALL_TIMEOUT, |call| Message::Forward {
             call,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Asks another member for an index at which a read is linearizable.
+    /// Requests an index at which a read is linearizable from another member.
     pub async fn read_index(&self, to: ControllerId) -> Option<LogIndex> {
         let reply = self.call(to, CALL_TIMEOUT, |call| Message::ReadIndex {
             call,
@@ -145,8 +145,7 @@
         }
     }
 
-    /// Has another member change the membership; `None` when the result is not
-    /// known.
+    /// Forwards a membership change to another member; `None` when the result is unknown.
     pub async fn change_membership(
         &self,
         to: ControllerId,
@@ -163,7 +162,7 @@
         }
     }
 
-    /// Passes a router's reports on to the leader.
+    /// Relays a router's demand reports to the leader.
     pub fn relay_demand(
         &self,
         leader: ControllerId,
@@ -179,7 +178,7 @@
         self.send(leader, message);
     }
 
-    /// Tells the leader that a router has left.
+    /// Notifies the leader that a router has disconnected.
     pub fn relay_gone(&self, leader: ControllerId, router: &RouterId) {
         let message = Message::RelayedDemand {
             router: router.clone(),
--- a/crates/controller/src/replica/actor.rs
+++ b/crates/controller/src/replica/actor.rs
@@ -1,4 +1,6 @@
-//! The actor around the consensus core: a mailbox and a tick.
+//! Actor that feeds messages and ticks to the consensus core.
+//!
+//! Invariant: only this actor calls the core, one message at a time.
 
 use super::driver::Driver;
 use super::handle::ProposeError;
@@ -13,17 +15,18 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time between ticks of the core.
-const TICK: Duration = Duration::from_millis(50);
-/// Ticks are finer at the start: members that start together differ by their
-/// jitter in when they first stand for election.
-const FIRST_TICK: Duration = Duration::from_millis(4);
-const FIRST_TICKS: u32 = 15;
+/// Interval between ticks of the core.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between the first ticks. It is shorter than the jitter of the election timeouts, so
+/// that members that start together become candidates at different times.
+const STARTUP_TICK_INTERVAL: Duration = Duration::from_millis(4);
+/// Number of ticks at the shorter interval.
+const STARTUP_TICKS: u32 = 15;
 
-/// Receives the result of a call.
+/// Channel for the result of a call.
 pub(super) type Reply<T> = oneshot::Sender<Result<T, ProposeError>>;
 
-/// Messages of the replica.
+/// Messages to the replica actor.
 #[derive(Debug)]
 pub enum ReplicaMessage {
     /// Commit a command, if this member leads.
@@ -40,26 +43,26 @@
         /// Receives the index of the committed change.
         reply: Reply<LogIndex>,
     },
-    /// Ask for an index at which a read is linearizable, if this member leads.
+    /// Request an index at which a read is linearizable, if this member leads.
     Read {
         /// Receives the index.
         reply: Reply<LogIndex>,
     },
-    /// What is known about the members.
+    /// Request this member's view of the members.
     Members {
         /// Receives the view.
         reply: oneshot::Sender<MembersView>,
     },
-    /// A message of another member.
+    /// A consensus message of another member.
     Receive {
         /// The sender.
         from: ControllerId,
         /// The message.
         message: ConsensusMessage,
     },
-    /// Hand the leadership over, if this member leads.
+    /// Transfer the leadership, if this member leads.
     Transfer {
-        /// The next leader; the voter that has the most of the log when `None`.
+        /// The next leader; when `None`, the voter with the most complete log.
         to: Option<ControllerId>,
     },
     /// Writes are durable up to this number.
@@ -69,9 +72,9 @@
     },
     /// A snapshot is durable.
     SnapshotDurable {
-        /// What it holds.
+        /// Its last entry and membership.
         metadata: SnapshotMetadata,
-        /// Its bytes.
+        /// Its encoded content.
         bytes: Arc<Vec<u8>>,
     },
     /// The disk is full, or has space again.
@@ -79,12 +82,12 @@
         /// Whether it is full.
         full: bool,
     },
-    /// The store failed for good.
+    /// The store failed permanently.
     StoreFailed {
-        /// Why.
+        /// The cause.
         error: StorageError,
     },
-    /// Time passed.
+    /// A tick of the core is due.
     Tick,
 }
 
@@ -101,10 +104,10 @@
         arguments: Self::Arguments,
     ) -> Result<Self::State, ActorProcessingErr> {
         let driver = Driver::new(arguments, myself.clone())?;
-        for number in 1..=FIRST_TICKS {
-            myself.send_after(FIRST_TICK * number, || ReplicaMessage::Tick);
+        for number in 1..=STARTUP_TICKS {
+            myself.send_after(STARTUP_TICK_INTERVAL * number, || ReplicaMessage::Tick);
         }
-        myself.send_interval(TICK, || ReplicaMessage::Tick);
+        myself.send_interval(TICK_INTERVAL, || ReplicaMessage::Tick);
         Ok(driver)
     }
 
@@ -114,16 +117,16 @@
         message: Self::Msg,
         driver: &mut Self::State,
     ) -> Result<(), ActorProcessingErr> {
-        if let Err(error) = receive(driver, message) {
-            log::error!("replica: stopped: {error}");
-            driver.stopped(&error);
+        if let Err(error) = dispatch(driver, message) {
+            log::error!("replica: stopped after an error: {error}");
+            driver.fail(&error);
             myself.stop(None);
         }
         Ok(())
     }
 }
 
-fn receive(
+fn dispatch(
     driver: &mut Driver,
     message: ReplicaMessage,
 ) -> Result<(), crate::error::ControllerError> {
--- a/crates/controller/src/replica/driver.rs
+++ b/crates/controller/src/replica/driver.rs
@@ -1,4 +1,6 @@
-//! Carries out the consensus core's outputs.
+//! Executes the outputs of the consensus core: writes, messages, applied entries and replies.
+//!
+//! Invariant: each proposal and read gets at most one reply.
 
 use super::actor::{ReplicaMessage, Reply};
 use super::handle::{ProposeError, ReplicaStatus, SharedState, check_length};
@@ -22,7 +24,7 @@
 use std::sync::{Arc, PoisonError};
 use tokio::sync::watch;
 
-/// What a replica starts with.
+/// Parts from which a driver is created.
 pub struct DriverArguments {
     pub(super) core: Core,
     pub(super) store: Box<dyn LogStore>,
@@ -34,7 +36,7 @@
     pub(super) peers: PeerNetwork,
 }
 
-/// See the module.
+/// The consensus core with its outputs' destinations and pending calls.
 pub struct Driver {
     core: Core,
     writer: Sender<WriteRequest>,
@@ -148,8 +150,9 @@
         self.disk_full = full;
     }
 
-    /// The store failed: nobody may believe that this member still serves.
-    pub(super) fn stopped(&mut self, problem: &ControllerError) {
+    /// Publishes the failure of this replica and refuses pending proposals, so that no caller
+    /// treats this member as serving any more.
+    pub(super) fn fail(&mut self, problem: &ControllerError) {
         self.refuse_all();
         self.status.send_modify(|status| {
             status.failure = Some(problem.to_string().into());
@@ -158,26 +161,26 @@
         });
     }
 
-    /// Has the core take one input and carries out what it asks.
+    /// Passes one input to the core and executes the outputs.
     pub(super) fn step(&mut self, input: Input) -> Result<(), ControllerError> {
         let now = self.clock.now();
         let outputs = self.core.step(input, now);
         for output in outputs {
-            self.carry_out(output)?;
+            self.execute(output)?;
         }
         if let Some(at) = self.core.quorum_contact() {
             self.quorum_contact.store(at.0, Ordering::Relaxed);
         }
-        let lost = self.core.has_lost_quorum(now);
+        let lost_quorum = self.core.has_lost_quorum(now);
         self.status.send_if_modified(|status| {
-            let changed = status.lost_quorum != lost;
-            status.lost_quorum = lost;
+            let changed = status.lost_quorum != lost_quorum;
+            status.lost_quorum = lost_quorum;
             changed
         });
         Ok(())
     }
 
-    fn carry_out(&mut self, output: Output) -> Result<(), ControllerError> {
+    fn execute(&mut self, output: Output) -> Result<(), ControllerError> {
         match output {
             Output::Persist {
                 number,
@@ -242,12 +245,12 @@
     }
 
     fn write(&self, request: WriteRequest) {
-        // A failed writer has reported its error to the mailbox.
+        // A failed writer has already reported its error to the actor.
         let _ = self.writer.send(request);
     }
 
-    /// A snapshot is durable: its own, or one from the leader that goes beyond
-    /// what is applied here.
+    /// Handles a durable snapshot. One from the leader that goes beyond the applied entries
+    /// replaces the state.
     pub(super) fn snapshot_durable(
         &mut self,
         metadata: SnapshotMetadata,
@@ -264,7 +267,7 @@
             return self.step(Input::SnapshotSaved { metadata });
         }
         log::info!(
-            "replica: restored a snapshot at entry {}",
+            "replica: restored a snapshot up to entry {}",
             metadata.last_index
         );
         self.step(Input::SnapshotRestored { metadata })?;
@@ -280,7 +283,7 @@
             bytes += entry.payload.size_bytes();
             let reply = apply_one(&mut state, entry);
             if let Some(waiting) = self.waiting.remove(&entry.index) {
-                answer(waiting, entry, reply);
+                complete(waiting, entry, reply);
             }
         }
         drop(state);
@@ -295,7 +298,7 @@
         let metadata = self.core.snapshot_metadata();
         let state = self.state.read().unwrap_or_else(PoisonError::into_inner);
         let members = self.core.membership().all();
-        let bytes = match self.peers.addresses().all_speak_present(&members) {
+        let bytes = match self.peers.addresses().all_at_current_version(&members) {
             true => state.to_snapshot(),
             false => state.to_production_snapshot(),
         };
@@ -327,7 +330,8 @@
         });
     }
 
-    /// What was appended under this member's leadership may commit or not.
+    /// Refuses the waiting proposals with an unknown result: entries that were appended under
+    /// this member's leadership may or may not be committed.
     fn refuse_all(&mut self) {
         for (_, waiting) in std::mem::take(&mut self.waiting) {
             waiting.reply.refuse(ProposeError::Undecided);
@@ -335,11 +339,13 @@
     }
 }
 
-fn answer(waiting: WaitingProposal, entry: &Entry, reply: Option<CommandReply>) {
-    let same = waiting.term == entry.term;
+fn complete(waiting: WaitingProposal, entry: &Entry, reply: Option<CommandReply>) {
+    let same_term = waiting.term == entry.term;
     match (waiting.reply, reply) {
-        (ProposalReply::Command(channel), Some(reply)) if same => drop(channel.send(Ok(reply))),
-        (ProposalReply::Change(channel), _) if same => drop(channel.send(Ok(entry.index))),
+        (ProposalReply::Command(channel), Some(reply)) if same_term => {
+            drop(channel.send(Ok(reply)))
+        }
+        (ProposalReply::Change(channel), _) if same_term => drop(channel.send(Ok(entry.index))),
         (channel, _) => channel.refuse(ProposeError::Undecided),
     }
 }
@@ -352,7 +358,10 @@
     match CommandEnvelope::from_payload(bytes) {
         Ok(envelope) => Some(state.apply(entry.index, entry.term, &envelope)),
         Err(error) => {
-            log::error!("replica: entry {} skipped: {error}", entry.index);
+            log::error!(
+                "replica: skipping entry {}, which can't be decoded: {error}",
+                entry.index
+            );
             state.skip(entry.index);
             None
         }
--- a/crates/controller/src/replica/handle.rs
+++ b/crates/controller/src/replica/handle.rs
@@ -1,4 +1,6 @@
-//! The handle of a replica.
+//! Handle of a replica: proposals, linearizable reads, membership changes and status.
+//!
+//! Invariant: a command that is sent again keeps its session number, so it takes effect once.
 
 use super::actor::{ReplicaMessage, Reply};
 use super::session::ClientSession;
@@ -19,31 +21,31 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-/// Longest time in which a command or read looks for a leader.
+/// Longest time for which a command or read is retried, for instance without a leader.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause before a command or read is tried again.
+/// Pause before a command or read is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// A voter heard within this time can take the leadership over.
-const LIVE_WITHIN: Millis = Millis(500);
-/// Longest wait for another voter to take over at a planned stop.
+/// A voter contacted within this time is a candidate for a leadership transfer.
+const MAX_VOTER_SILENCE: Millis = Millis(500);
+/// Longest wait for a leadership transfer at graceful shutdown.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a command was not, or perhaps not, committed.
+/// Why a command was not committed, or may not have been.
 #[derive(Debug, Clone, PartialEq, Eq, snafu::Snafu)]
 pub enum ProposeError {
-    /// This member does not lead; nothing was taken in.
+    /// This member does not lead; nothing was appended.
     #[snafu(display("replica: this member does not lead"))]
     NotLeader {
         /// The leader, if known.
         leader: Option<ControllerId>,
     },
-    /// Leadership was lost; the command may be committed yet.
+    /// The leadership was lost or no reply arrived; the command may still be committed.
     #[snafu(display("replica: leadership was lost before the command was committed"))]
     Undecided,
-    /// The store refuses writes, such as on a full disk; nothing was taken in.
+    /// The store refuses writes because its disk is full; nothing was appended.
     #[snafu(display("replica: the store refuses writes, its disk is full"))]
     StoreUnavailable,
-    /// The command is longer than any message may be; nothing was taken in.
+    /// The command is longer than the largest message; nothing was appended.
     #[snafu(display("replica: a command of {bytes} bytes is too long, {most} are allowed"))]
     TooLong {
         /// Its length.
@@ -57,19 +59,19 @@
     /// The membership change is not allowed.
     #[snafu(display("replica: {source}"))]
     Membership {
-        /// Why.
+        /// The cause.
         source: MembershipError,
     },
 }
 
 impl ProposeError {
-    /// Whether another try, perhaps at another member, may succeed.
-    fn is_worth_retrying(&self) -> bool {
+    /// Whether a retry, possibly at another member, may succeed.
+    fn is_retryable(&self) -> bool {
         matches!(self, Self::NotLeader { .. } | Self::Undecided)
     }
 }
 
-/// What is known about this member.
+/// Status of this member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaStatus {
     /// Its role.
@@ -78,14 +80,14 @@
     pub term: Term,
     /// The leader, if known.
     pub leader: Option<ControllerId>,
-    /// Whether it has had no leader for longer than an election takes, and hears no quorum:
-    /// another member may have a leader.
+    /// Whether it has had no leader for longer than an election takes and has no contact with a
+    /// quorum; another member may have a leader.
     pub lost_quorum: bool,
     /// Last applied entry.
     pub applied: LogIndex,
     /// Revision of the configuration.
     pub revision: Revision,
-    /// Why the replica has ended by itself, if it has.
+    /// Why the replica has failed, if it has.
     pub failure: Option<Arc<str>>,
 }
 
@@ -113,12 +115,12 @@
 }
 
 impl ReplicaHandle {
-    /// Commits a command and returns its reply. A member that does not lead
-    /// passes it on to the leader; after a lost answer or a change of leader it
-    /// is sent again under the same number, so that it takes effect once.
+    /// Commits a command and returns its reply. A member that does not lead forwards it to the
+    /// leader. After a lost reply or a change of leader it is retried under the same number, so
+    /// that it takes effect once.
     ///
     /// # Errors
-    /// See [`ProposeError`]. `Undecided` when no answer came in time.
+    /// See [`ProposeError`]. `Undecided` when no reply arrived in time.
     pub async fn propose(
         &self,
         mut envelope: CommandEnvelope,
@@ -133,7 +135,7 @@
         let deadline = Instant::now() + LEADER_TIMEOUT;
         loop {
             let error = match self.propose_once(&envelope).await {
-                Err(error) if error.is_worth_retrying() => error,
+                Err(error) if error.is_retryable() => error,
                 Err(_) if undecided => ProposeError::Undecided,
                 finished => return finished,
             };
@@ -174,42 +176,42 @@
         envelope: CommandEnvelope,
     ) -> Result<CommandReply, ProposeError> {
         let call = |reply| ReplicaMessage::Propose { envelope, reply };
-        self.ask(call, ProposeError::Undecided).await
+        self.call(call, ProposeError::Undecided).await
     }
 
-    async fn ask<T>(
+    async fn call<T>(
         &self,
         message: impl FnOnce(Reply<T>) -> ReplicaMessage,
-        lost: ProposeError,
+        on_lost_reply: ProposeError,
     ) -> Result<T, ProposeError> {
         let (reply, received) = oneshot::channel();
         let sent = self.actor.cast(message(reply));
         sent.map_err(|_| ProposeError::Stopped)?;
-        received.await.unwrap_or(Err(lost))
+        received.await.unwrap_or(Err(on_lost_reply))
     }
 
-    /// Commits a command through whichever member leads.
+    /// Commits a command through the current leader.
     ///
     /// # Errors
     /// See [`ProposeError`].
     pub async fn submit(&self, command: Command) -> Result<CommandReply, ProposeError> {
-        self.propose(unnamed(command)).await
+        self.propose(without_session(command)).await
     }
 
-    /// Commits a decision that only a leader may make; a member that does not
-    /// lead (any more) refuses it.
+    /// Commits a decision that only the leader may make. A member that does not lead, or no
+    /// longer does, refuses it.
     ///
     /// # Errors
     /// See [`ProposeError`].
     pub async fn submit_as_leader(&self, command: Command) -> Result<CommandReply, ProposeError> {
-        self.propose_here(unnamed(command)).await
+        self.propose_here(without_session(command)).await
     }
 
-    /// Waits until everything committed before the call is applied here, also
-    /// on a member that does not lead.
+    /// Waits until everything committed before the call is applied here. It works on any
+    /// member.
     ///
     /// # Errors
-    /// When no leader answers in time, or this member has stopped.
+    /// When no leader replies in time, or this member has stopped.
     pub async fn read_barrier(&self) -> Result<LogIndex, ProposeError> {
         let deadline = Instant::now() + LEADER_TIMEOUT;
         let index = loop {
@@ -217,7 +219,7 @@
                 Ok(index) => break index,
                 Err(error) => error,
             };
-            if !error.is_worth_retrying() || Instant::now() >= deadline {
+            if !error.is_retryable() || Instant::now() >= deadline {
                 return Err(error);
             }
             tokio::time::sleep(RETRY_PAUSE).await;
@@ -246,17 +248,17 @@
     /// An index at which a read is linearizable, if this member leads.
     ///
     /// # Errors
-    /// When it does not lead, or loses the leadership meanwhile.
+    /// When this member does not lead, or loses the leadership before the index is confirmed.
     pub async fn read_index_here(&self) -> Result<LogIndex, ProposeError> {
         let call = |reply| ReplicaMessage::Read { reply };
-        self.ask(call, ProposeError::Stopped).await
+        self.call(call, ProposeError::Stopped).await
     }
 
-    /// Changes the membership through whichever member leads; returns the index
-    /// of the committed change.
+    /// Changes the membership through the current leader; returns the index of the committed
+    /// change.
     ///
     /// # Errors
-    /// Why it was refused, or that the result is not known.
+    /// The reason of the refusal, or that the result is unknown.
     pub async fn change_membership(&self, change: MembershipChange) -> Result<LogIndex, String> {
         let leader = self.status.borrow().leader;
         let unknown = || "the result of the change is not known; list the members".to_owned();
@@ -280,34 +282,35 @@
         change: MembershipChange,
     ) -> Result<LogIndex, ProposeError> {
         let call = |reply| ReplicaMessage::ChangeMembership { change, reply };
-        self.ask(call, ProposeError::Undecided).await
+        self.call(call, ProposeError::Undecided).await
     }
 
-    /// The members as this member knows them.
+    /// This member's view of the members; empty when it has stopped.
     pub async fn members(&self) -> MembersView {
         let (reply, received) = oneshot::channel();
         let _ = self.actor.cast(ReplicaMessage::Members { reply });
         received.await.unwrap_or_default()
     }
 
-    /// Hands a message of another member to the consensus core.
+    /// Passes a message of another member to the consensus core.
     pub fn receive(&self, from: ControllerId, message: ConsensusMessage) {
         let _ = self.actor.cast(ReplicaMessage::Receive { from, message });
     }
 
-    /// The replicated state as applied here. Don't hold it over an `await`.
+    /// Locks the replicated state, as applied here, for reading. Do not hold the guard across an
+    /// `await`.
     pub fn state(&self) -> RwLockReadGuard<'_, ReplicatedState> {
         self.state.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Status, and its changes (each applied batch is one).
+    /// Subscription to the status; each applied batch of entries is a change.
     #[must_use]
     pub fn status(&self) -> watch::Receiver<ReplicaStatus> {
         self.status.clone()
     }
 
-    /// Waits until the replica ends by itself, as when its store fails for good, and tells
-    /// why. The process serves nobody from then on and has to end.
+    /// Waits until the replica fails, for example by a permanent failure of its store, and
+    /// returns the cause. The process serves no requests from then on and must exit.
     pub fn failed(&self) -> impl Future<Output = Arc<str>> + Send + use<> {
         let mut status = self.status.clone();
         async move {
@@ -315,7 +318,7 @@
             let failure = failed.ok().and_then(|status| status.failure.clone());
             match failure {
                 Some(failure) => failure,
-                // Stopped as planned.
+                // The replica was shut down without a failure.
                 None => std::future::pending().await,
             }
         }
@@ -327,50 +330,51 @@
         self.status.borrow().leads()
     }
 
-    /// Whether another member may have a leader, while this one hears no quorum.
+    /// Whether this member has no contact with a quorum, so that another member may have a
+    /// leader.
     #[must_use]
     pub fn has_lost_quorum(&self) -> bool {
         self.status.borrow().lost_quorum
     }
 
-    /// Waits until this member hears no quorum.
+    /// Waits until this member has lost contact with a quorum.
     pub async fn until_quorum_lost(&self) {
         let mut status = self.status.clone();
         if status.wait_for(|status| status.lost_quorum).await.is_err() {
-            // Stopped.
+            // The replica has stopped; its status does not change any more.
             std::future::pending::<()>().await;
         }
     }
 
-    /// Time since this member was surely in contact with a quorum, or with a
-    /// leader that was; `None` before the first contact. What it has applied is
-    /// at most so old, plus the time that replication takes.
+    /// Time since this member was last confirmed to be in contact with a quorum, or with a leader
+    /// that was; `None` before the first contact. The applied state is at most this old, plus the
+    /// replication delay.
     #[must_use]
     pub fn confirmation_age(&self) -> Option<Millis> {
         let contact = self.quorum_contact.load(Ordering::Relaxed);
         (contact != super::NO_CONTACT).then(|| self.clock.now().since(Timestamp(contact)))
     }
 
-    /// Begins to hand the leadership over to a voter, if this member leads.
+    /// Starts a leadership transfer to a voter, if this member leads.
     pub fn hand_over(&self, to: ControllerId) {
         let _ = self.actor.cast(ReplicaMessage::Transfer { to: Some(to) });
     }
 
-    /// Hands the leadership over, if this member leads, and stops.
+    /// Transfers the leadership, if this member leads, and stops the replica.
     pub async fn stop(&self) {
         let members = self.members().await;
-        let can_follow = members.live_voters(LIVE_WITHIN).next().is_some();
-        if self.leads() && can_follow {
+        let has_successor = members.live_voters(MAX_VOTER_SILENCE).next().is_some();
+        if self.leads() && has_successor {
             let _ = self.actor.cast(ReplicaMessage::Transfer { to: None });
             let mut status = self.status.clone();
-            let followed = status.wait_for(|status| !status.leads());
-            let _ = tokio::time::timeout(TRANSFER_TIMEOUT, followed).await;
+            let transferred = status.wait_for(|status| !status.leads());
+            let _ = tokio::time::timeout(TRANSFER_TIMEOUT, transferred).await;
         }
         let _ = self.actor.stop_and_wait(None, None).await;
     }
 }
 
-/// Refuses a command that no message between members can carry.
+/// Refuses a command that exceeds the longest message between members.
 pub(super) fn check_length(payload: &[u8]) -> Result<(), ProposeError> {
     match payload.len() > MAX_COMMAND_BYTES {
         true => Err(ProposeError::TooLong {
@@ -381,8 +385,8 @@
     }
 }
 
-/// An envelope that the session names when it is sent.
-fn unnamed(command: Command) -> CommandEnvelope {
+/// An envelope without a client; the session of this process fills in client and sequence.
+fn without_session(command: Command) -> CommandEnvelope {
     CommandEnvelope {
         client: ClientId::default(),
         sequence: ClientSequence(0),
--- a/crates/controller/src/replica/mod.rs
+++ b/crates/controller/src/replica/mod.rs
@@ -1,5 +1,6 @@
-//! This member's replica of the log: drives the consensus core, the store and
-//! the state machine, and is the one way to change replicated state.
+//! This member's replica of the log: drives the consensus core, the store and the state machine.
+//!
+//! Invariant: replicated state changes only through entries that this module applies.
 
 mod actor;
 mod driver;
@@ -31,29 +32,29 @@
 use std::sync::{Arc, RwLock};
 use tokio::sync::watch;
 
-/// Folder of the log of group 0 in the data folder.
+/// Name of the folder in the data folder that holds the log of group 0.
 const GROUP_FOLDER: &str = "group-0";
-/// Marks that no quorum has been seen yet.
+/// Value of the quorum contact before the first contact.
 const NO_CONTACT: i64 = i64::MAX;
 
-/// What a replica needs to know.
+/// Settings of a replica.
 #[derive(Debug, Clone)]
 pub struct ReplicaSettings {
     /// Identity of this member.
     pub id: ControllerId,
-    /// Folder of its durable state.
+    /// Folder of the durable state.
     pub data_folder: PathBuf,
-    /// Membership of a new group; empty for a member that joins one.
+    /// Initial membership of a new group; empty for a member that joins an existing one.
     pub bootstrap: Membership,
     /// Settings of the consensus core.
     pub core: CoreSettings,
-    /// Applied entries, or their content in bytes, after which a snapshot is
+    /// Number of applied entries, and size of their payloads in bytes, after which a snapshot is
     /// taken.
     pub snapshot_after: (usize, usize),
 }
 
 impl ReplicaSettings {
-    /// Settings of a member of a group whose voters are configured.
+    /// Settings of a member of a group with configured voters.
     #[must_use]
     pub fn of_controller(settings: &ControllerSettings) -> Self {
         Self {
@@ -145,8 +146,8 @@
     })
 }
 
-/// The membership of a new group. A member that is not among the voters joins
-/// an existing group: it learns the membership from the leader.
+/// The initial membership of a group. A member that is not among the configured voters joins an
+/// existing group and receives the membership from its leader.
 fn first_membership(settings: &ControllerSettings) -> Membership {
     let voters: Vec<ControllerId> = settings.voters.iter().map(|voter| voter.id).collect();
     if voters.is_empty() {
--- a/crates/controller/src/replica/session.rs
+++ b/crates/controller/src/replica/session.rs
@@ -1,11 +1,13 @@
-//! This process's client session of the replicated log: numbers for commands,
-//! so that a command sent again after a lost answer gets its first answer.
+//! Client session of this process: numbers commands for deduplication.
+//!
+//! Invariant: a command that is retried after a lost reply keeps its number and gets the reply of
+//! its first execution.
 
 use courseshunt_types::{ClientId, ClientSequence, ControllerId};
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// See the module; cheap to clone.
+/// Name and sequence numbers of the session; cheap to clone.
 #[derive(Debug, Clone)]
 pub(super) struct ClientSession {
     client: ClientId,
@@ -18,17 +20,17 @@
     pending: BTreeSet<u64>,
 }
 
-/// One command under way; its answer is no longer wanted once this is dropped.
+/// A command in flight. Dropping the ticket acknowledges the reply.
 #[derive(Debug)]
 pub(super) struct CommandTicket<'a> {
     session: &'a ClientSession,
     number: u64,
-    /// All answers below this number have arrived.
+    /// Replies to all commands below this number have arrived.
     pub(super) acknowledged: ClientSequence,
 }
 
 impl ClientSession {
-    /// A new session of this start of the process.
+    /// Creates a session for this run of the process.
     pub(super) fn new(id: ControllerId) -> Self {
         let incarnation = rand::random::<u64>();
         Self {
@@ -46,7 +48,7 @@
         self.numbers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Numbers the next command.
+    /// Assigns a number to the next command.
     pub(super) fn begin(&self) -> CommandTicket<'_> {
         let mut numbers = self.lock();
         numbers.last += 1;
@@ -62,7 +64,7 @@
 }
 
 impl CommandTicket<'_> {
-    /// Number of the command.
+    /// The number of the command.
     pub(super) fn sequence(&self) -> ClientSequence {
         ClientSequence(self.number)
     }
--- a/crates/controller/src/replica/snapshots.rs
+++ b/crates/controller/src/replica/snapshots.rs
@@ -1,27 +1,29 @@
-//! Snapshots of the replicated state: when to take one, and the bytes that go
-//! to and come from other members in chunks.
+//! Snapshots of the replicated state: when one is due, and the chunks sent to and received from
+//! other members.
+//!
+//! Invariant: only durable snapshots are sent.
 
 use crate::error::ControllerError;
 use courseshunt_consensus::{ConsensusMessage, SnapshotMetadata};
 use courseshunt_types::{LogIndex, Term};
 use std::sync::Arc;
 
-/// Applied entries after which a snapshot is taken.
+/// Number of applied entries after which a snapshot is taken.
 pub(super) const SNAPSHOT_ENTRIES: usize = 10_000;
-/// Content of applied entries, in bytes, after which a snapshot is taken.
+/// Size of applied payloads, in bytes, after which a snapshot is taken.
 pub(super) const SNAPSHOT_BYTES: usize = 16 * 1024 * 1024;
-/// Length of one chunk, in bytes.
+/// Size of one chunk, in bytes.
 const CHUNK_BYTES: usize = 256 * 1024;
-/// Longest snapshot that is taken in from a leader, in bytes.
+/// Largest snapshot that is accepted from a leader, in bytes.
 const MAX_SNAPSHOT_BYTES: usize = 1024 * 1024 * 1024;
 
-/// See the module.
+/// The newest durable snapshot, and one that is being received.
 #[derive(Debug, Default)]
 pub(super) struct Snapshots {
     metadata: SnapshotMetadata,
     bytes: Arc<Vec<u8>>,
     incoming: Vec<u8>,
-    /// Last index of a snapshot from the leader that is being written.
+    /// Last index of a snapshot from the leader that is being written to disk.
     awaited: Option<LogIndex>,
     due_after: (usize, usize),
     entries_since: usize,
@@ -29,7 +31,7 @@
 }
 
 impl Snapshots {
-    /// Starts with the snapshot that storage held.
+    /// Starts with the snapshot that was recovered from storage.
     pub(super) fn new(
         metadata: SnapshotMetadata,
         bytes: Vec<u8>,
@@ -55,7 +57,7 @@
         due
     }
 
-    /// A snapshot is durable; it is the one to send from now on.
+    /// Records a durable snapshot. The newest one is sent to other members.
     pub(super) fn saved(&mut self, metadata: SnapshotMetadata, bytes: Arc<Vec<u8>>) {
         if metadata.last_index > self.metadata.last_index {
             self.metadata = metadata;
@@ -69,7 +71,7 @@
             return None;
         }
         let start = usize::try_from(offset).unwrap_or(usize::MAX);
-        // A newer, shorter snapshot took the place of the one begun: start again.
+        // The snapshot was replaced by a newer, shorter one during the transfer: restart.
         let start = if start < self.bytes.len() { start } else { 0 };
         let end = (start + CHUNK_BYTES).min(self.bytes.len());
         Some(ConsensusMessage::SnapshotChunk {
@@ -81,14 +83,14 @@
         })
     }
 
-    /// Takes a chunk in; one at offset 0 begins a new snapshot.
+    /// Appends a received chunk; one at offset 0 starts a new snapshot.
     pub(super) fn store_chunk(&mut self, offset: u64, bytes: &[u8]) {
         let start = usize::try_from(offset).unwrap_or(usize::MAX);
         self.incoming.truncate(start);
         self.incoming.extend_from_slice(bytes);
     }
 
-    /// The whole snapshot that arrived, once its last chunk is there.
+    /// Returns the received snapshot after its last chunk, if it can be decoded.
     pub(super) fn take_incoming(&mut self) -> Result<Arc<Vec<u8>>, ControllerError> {
         let bytes = std::mem::take(&mut self.incoming);
         if bytes.len() > MAX_SNAPSHOT_BYTES {
@@ -100,12 +102,12 @@
         Ok(Arc::new(bytes))
     }
 
-    /// Notes that the snapshot up to `index` from the leader is being written.
+    /// Records that the leader's snapshot up to `index` is being written to disk.
     pub(super) fn await_restore(&mut self, index: LogIndex) {
         self.awaited = Some(index);
     }
 
-    /// Whether this snapshot came from the leader.
+    /// Whether this snapshot is the awaited one from the leader; clears the mark.
     pub(super) fn take_awaited(&mut self, metadata: &SnapshotMetadata) -> bool {
         let awaited = self.awaited == Some(metadata.last_index);
         if awaited {
--- a/crates/controller/src/replica/writer.rs
+++ b/crates/controller/src/replica/writer.rs
@@ -1,8 +1,8 @@
-//! The thread that writes the durable log.
+//! Thread that writes the durable log.
 //!
-//! What arrives while a sync runs is written together and synced once (group
-//! commit). On a full disk the thread keeps what it has, says so, and tries
-//! again until there is space; nothing later overtakes it.
+//! Invariant: requests become durable in the order in which they arrive. Requests that arrive
+//! during a sync are written together and synced once (group commit). On a full disk the thread
+//! keeps its batch, reports the condition, and retries until there is space.
 
 use super::actor::ReplicaMessage;
 use courseshunt_consensus::{Entry, HardState, PersistNumber, SnapshotMetadata};
@@ -12,12 +12,12 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// Time between tries on a full disk.
-const FULL_DISK_PAUSE: Duration = Duration::from_millis(200);
-/// Writes that one sync covers at the most.
+/// Pause between retries on a full disk.
+const FULL_DISK_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Largest number of requests in one batch.
 const MAX_BATCH: usize = 1024;
 
-/// One thing to write.
+/// A write of the log or a snapshot.
 #[derive(Debug)]
 pub(super) enum WriteRequest {
     /// Entries and hard state.
@@ -59,7 +59,7 @@
                 batch.push(next);
             }
             if let Err(error) = self.write(batch) {
-                log::error!("replica: {error}");
+                log::error!("replica: writing the log failed: {error}");
                 let _ = self.replica.cast(ReplicaMessage::StoreFailed { error });
                 return;
             }
@@ -80,8 +80,8 @@
                 }
                 WriteRequest::Snapshot { metadata, bytes } => {
                     self.sync(written.take())?;
-                    self.until_space(|store| store.save_snapshot(&metadata, &bytes))?;
-                    self.tell(ReplicaMessage::SnapshotDurable { metadata, bytes });
+                    self.retry_while_full(|store| store.save_snapshot(&metadata, &bytes))?;
+                    self.notify(ReplicaMessage::SnapshotDurable { metadata, bytes });
                 }
             }
         }
@@ -92,34 +92,36 @@
         let Some(number) = written else {
             return Ok(());
         };
-        self.until_space(|store| store.sync())?;
-        self.tell(ReplicaMessage::Persisted { number });
+        self.retry_while_full(|store| store.sync())?;
+        self.notify(ReplicaMessage::Persisted { number });
         Ok(())
     }
 
-    /// Repeats `work` while the disk is full.
-    fn until_space(
+    /// Repeats `operation` while the disk is full.
+    fn retry_while_full(
         &mut self,
-        mut work: impl FnMut(&mut dyn LogStore) -> Result<(), StorageError>,
+        mut operation: impl FnMut(&mut dyn LogStore) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
         let mut full = false;
         loop {
-            match work(self.store.as_mut()) {
+            match operation(self.store.as_mut()) {
                 Err(error) if error.is_temporary() => {
                     if !full {
-                        log::error!("replica: no new commands until there is space: {error}");
+                        log::error!(
+                            "replica: refusing new commands until the disk has space: {error}"
+                        );
                     }
                     full = true;
-                    let told = self.replica.cast(ReplicaMessage::DiskFull { full });
-                    if told.is_err() {
+                    let notified = self.replica.cast(ReplicaMessage::DiskFull { full });
+                    if notified.is_err() {
                         return Err(error);
                     }
-                    std::thread::sleep(FULL_DISK_PAUSE);
+                    std::thread::sleep(FULL_DISK_RETRY_PAUSE);
                 }
                 finished => {
                     if full {
-                        log::info!("replica: the disk has space again");
-                        self.tell(ReplicaMessage::DiskFull { full: false });
+                        log::info!("replica: the disk has space again; accepting commands");
+                        self.notify(ReplicaMessage::DiskFull { full: false });
                     }
                     return finished;
                 }
@@ -127,7 +129,7 @@
         }
     }
 
-    fn tell(&self, message: ReplicaMessage) {
+    fn notify(&self, message: ReplicaMessage) {
         let _ = self.replica.cast(message);
     }
 }
