--- a/crates/controller/src/admin/changes.rs
+++ b/crates/controller/src/admin/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration: accept, try out, wait until in force.
+//! Configuration changes: accept, dry run, and wait until in force at all routers.
 
 use super::operators::Operator;
 use super::replies::{conflict, failure};
@@ -13,19 +13,19 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Longest body of an operator's request, in bytes.
+/// Largest body of an operator's request, in bytes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 /// Longest wait for a revision to be in force, in seconds.
 const MAX_WAIT_SECONDS: u64 = 300;
-/// Time between looks whether a revision is in force.
-const WAIT_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval of the check whether a revision is in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a change is handled, from the query of the request.
+/// Options of a change, from the query of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct ChangeOptions {
-    /// Only judge it.
+    /// Only validate the change.
     dry_run: bool,
-    /// Wait so long until it is in force everywhere.
+    /// Longest wait until the change is in force at all routers.
     wait: Option<Duration>,
 }
 
@@ -35,7 +35,7 @@
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
             match pair.split_once('=').unwrap_or((pair, "")) {
                 ("dry_run", "" | "true") => options.dry_run = true,
-                ("wait_seconds", seconds) => options.wait = Some(wait(seconds)?),
+                ("wait_seconds", seconds) => options.wait = Some(parse_wait(seconds)?),
                 _ => {
                     let allowed = "dry_run, wait_seconds=N";
                     return Err(format!("`{pair}` is no option; allowed: {allowed}"));
@@ -46,7 +46,7 @@
     }
 }
 
-fn wait(seconds: &str) -> Result<Duration, String> {
+fn parse_wait(seconds: &str) -> Result<Duration, String> {
     let number = seconds.parse().ok();
     let number = number.filter(|number| (1..=MAX_WAIT_SECONDS).contains(number));
     let number = number.ok_or_else(|| format!("wait_seconds must be from 1 to {MAX_WAIT_SECONDS}"));
@@ -79,13 +79,13 @@
     };
     change.operator.clone_from(&operator.name);
     match options.dry_run {
-        true => judge(&change, context).await,
+        true => dry_run(&change, context).await,
         false => accept(change, context, options.wait).await,
     }
 }
 
-/// Says what a change would do, after everything committed before.
-async fn judge(change: &ChangeRequest, context: &ControllerContext) -> Response<Body> {
+/// Validates a change against everything committed before, and returns its effects.
+async fn dry_run(change: &ChangeRequest, context: &ControllerContext) -> Response<Body> {
     if let Err(error) = context.replica.read_barrier().await {
         return unavailable(&error);
     }
@@ -112,11 +112,11 @@
     let command = Command::ChangeConfiguration(change);
     match context.replica.submit(command).await {
         Ok(CommandReply::Configured { revision }) => {
-            log::info!("admin: change {change_id:?} of {operator} is revision {revision}");
+            log::info!("admin: change {change_id:?} by {operator} accepted as revision {revision}");
             accepted(revision, context, wait).await
         }
         Ok(CommandReply::Refused(CommandError::Configuration { conflict: refused })) => {
-            log::info!("admin: change {change_id:?} of {operator} is refused: {refused:?}");
+            log::info!("admin: change {change_id:?} by {operator} refused: {refused:?}");
             conflict(&refused)
         }
         Ok(other) => {
@@ -149,37 +149,39 @@
         let missing = wait_in_force(revision, context, limit).await;
         content["in_force"] = Value::from(missing.is_empty());
         content["lagging"] = Value::from(missing.lagging);
-        content["unheard"] = json!(missing.unheard);
+        content["unheard"] = json!(missing.controllers);
     }
     let current = context.replica.state().configuration.revision;
     content["current_revision"] = json!(current.max(revision));
     json_response(StatusCode::OK, &content)
 }
 
-/// What keeps a revision from being known as in force everywhere.
+/// Processes that prevent a revision from being confirmed as in force at all routers.
 struct Missing {
     /// Routers with a lower revision.
     lagging: Vec<Value>,
     /// Controllers that have not reported their routers yet.
-    unheard: Vec<ControllerId>,
+    controllers: Vec<ControllerId>,
 }
 
 impl Missing {
-    async fn look(revision: Revision, context: &ControllerContext) -> Self {
+    async fn collect(revision: Revision, context: &ControllerContext) -> Self {
         let others = other_members(context).await;
         Self {
             lagging: super::pages::lagging(context, revision),
-            unheard: context.routers.unheard(others, context.clock.now()),
+            controllers: context
+                .routers
+                .controllers_without_report(others, context.clock.now()),
         }
     }
 
     fn is_empty(&self) -> bool {
-        self.lagging.is_empty() && self.unheard.is_empty()
+        self.lagging.is_empty() && self.controllers.is_empty()
     }
 }
 
-/// Waits until every live router has the revision; returns what is missing
-/// after `limit`.
+/// Waits until the revision is in force at every live router; returns what is missing after
+/// `limit`.
 async fn wait_in_force(
     revision: Revision,
     context: &ControllerContext,
@@ -187,10 +189,10 @@
 ) -> Missing {
     let deadline = tokio::time::Instant::now() + limit;
     loop {
-        let missing = Missing::look(revision, context).await;
+        let missing = Missing::collect(revision, context).await;
         if missing.is_empty() || tokio::time::Instant::now() >= deadline {
             return missing;
         }
-        tokio::time::sleep(WAIT_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/controller/src/admin/drain.rs
+++ b/crates/controller/src/admin/drain.rs
@@ -1,4 +1,4 @@
-//! `POST /admin/v1/drains`: asks a router or runner to stop as planned.
+//! `POST /admin/v1/drains`: requests the graceful shutdown of a router or runner.
 
 use super::replies::failure;
 use crate::ControllerContext;
@@ -12,10 +12,10 @@
 
 /// Path of the page.
 pub const PATH: &str = "/admin/v1/drains";
-/// Longest body, in bytes.
+/// Largest body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// What is to stop.
+/// The process to drain.
 #[derive(Debug, serde::Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 enum DrainRequest {
@@ -28,14 +28,14 @@
 /// Answers one request.
 pub async fn answer(request: Request<Incoming>, context: &ControllerContext) -> Response<Body> {
     let body = read_limited(request.into_body(), MAX_BODY_BYTES, "operator").await;
-    let wanted = body
+    let drain = body
         .ok()
         .and_then(|body| serde_json::from_slice::<DrainRequest>(&body).ok());
-    let Some(wanted) = wanted else {
+    let Some(drain) = drain else {
         let message = "the body must be {\"router\": ID} or {\"runner\": ID}";
         return failure(StatusCode::BAD_REQUEST, "invalid_request", message);
     };
-    let command = match wanted {
+    let command = match drain {
         DrainRequest::Router(router) => {
             let mut known = context.routers.all().into_iter();
             let known = known.find(|one| one.endpoint.router == router);
--- a/crates/controller/src/admin/explain.rs
+++ b/crates/controller/src/admin/explain.rs
@@ -1,4 +1,4 @@
-//! `GET /admin/v1/explain/NAME`: why a deployment is, or is not, loaded.
+//! `GET /admin/v1/explain/NAME`: explains why a deployment is or is not loaded.
 
 use super::failure;
 use crate::ControllerContext;
@@ -11,8 +11,8 @@
 /// Path before the deployment's name.
 pub const PREFIX: &str = "/admin/v1/explain/";
 
-/// The answer for the deployment `name`. Only the leader plans, so only it can
-/// explain; another member names the leader.
+/// The page for the deployment `name`. Only the leader plans, so only the leader can explain; any
+/// other member returns the leader's id.
 pub fn page(context: &ControllerContext, name: &str) -> Response<Body> {
     let status = context.replica.status().borrow().clone();
     if !status.leads() {
--- a/crates/controller/src/admin/members.rs
+++ b/crates/controller/src/admin/members.rs
@@ -1,4 +1,4 @@
-//! Pages of the control group's members.
+//! Pages for the members of the control group.
 
 use super::replies::failure;
 use crate::ControllerContext;
@@ -11,14 +11,14 @@
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// Page that lists the members.
+/// Path of the list of members.
 pub const LIST: &str = "/admin/v1/members";
-/// Page that takes changes.
+/// Path of membership changes.
 pub const CHANGES: &str = "/admin/v1/members/changes";
-/// Longest body of a change, in bytes.
+/// Largest body of a change, in bytes.
 const MAX_BODY_BYTES: usize = 4096;
 
-/// A change as operators send it.
+/// A membership change in the form that operators send.
 #[derive(Debug, serde::Deserialize)]
 #[serde(tag = "action", rename_all = "snake_case", deny_unknown_fields)]
 enum MemberChange {
@@ -38,7 +38,7 @@
     },
 }
 
-/// Lists the members; how far they are is known at the leader only.
+/// Lists the members. Only the leader has their replication progress.
 pub async fn list(context: &ControllerContext) -> Response<Body> {
     let view = context.replica.members().await;
     let addresses = context.peers.addresses();
@@ -62,7 +62,7 @@
     json_response(StatusCode::OK, &content)
 }
 
-/// Makes one change and answers once it is committed.
+/// Executes one change and responds once it is committed.
 pub async fn change(request: Request<Incoming>, context: &ControllerContext) -> Response<Body> {
     let body = match read_limited(request.into_body(), MAX_BODY_BYTES, "operator").await {
         Ok(body) => body,
@@ -78,13 +78,16 @@
             return failure(StatusCode::BAD_REQUEST, "invalid_request", &message);
         }
     };
-    match make(change, context).await {
+    match execute(change, context).await {
         Ok(response) => response,
         Err(message) => failure(StatusCode::CONFLICT, "not_changed", &message),
     }
 }
 
-async fn make(change: MemberChange, context: &ControllerContext) -> Result<Response<Body>, String> {
+async fn execute(
+    change: MemberChange,
+    context: &ControllerContext,
+) -> Result<Response<Body>, String> {
     let change = match change {
         MemberChange::Add {
             member,
@@ -101,7 +104,8 @@
     Ok(json_response(StatusCode::OK, &json!({"index": index})))
 }
 
-/// The members must find the new one before it is one of them.
+/// Records the address of a new member. It comes before the membership change, since the other
+/// members must be able to connect to the new one.
 async fn record_address(
     member: ControllerId,
     wire_address: SocketAddr,
--- a/crates/controller/src/admin/metrics.rs
+++ b/crates/controller/src/admin/metrics.rs
@@ -1,23 +1,23 @@
-//! The controller's metrics page.
+//! Metrics page of the controller.
 
 use crate::ControllerContext;
 use courseshunt_metrics::{MetricsPage, Sample};
 use courseshunt_state::{ReplicaPhase, ReplicatedState};
 use std::sync::atomic::Ordering;
 
-/// The page, from the values of this moment.
+/// Renders the page from the current values.
 pub async fn page(context: &ControllerContext) -> String {
     let members = context.replica.members().await;
     let mut page = MetricsPage::default();
     member(&mut page, context);
     page.gauge(
         "commit_index",
-        "Last committed entry of the log that this member knows.",
+        "Index of the last log entry that this member knows to be committed.",
         members.commit.0 as f64,
     );
     page.histogram(
         "log_sync_seconds",
-        "Time of one sync of the log to disk.",
+        "Duration of one sync of the log to disk.",
         courseshunt_storage::sync_times(),
     );
     fleet(&mut page, context);
@@ -32,17 +32,21 @@
     let leads = f64::from(u8::from(status.leads()));
     let leader = status.leader.map_or(0.0, |leader| leader.0 as f64);
     let has_leader = f64::from(u8::from(status.leader.is_some()));
-    page.gauge("leads", "1 while this member leads.", leads);
+    page.gauge("leads", "1 while this member is the leader.", leads);
     page.gauge(
         "has_leader",
-        "1 while this member knows a leader.",
+        "1 while a leader is known to this member.",
         has_leader,
     );
-    page.gauge("leader", "Member that leads, 0 for none.", leader);
-    page.gauge("term", "Term of the control group.", status.term.0 as f64);
+    page.gauge("leader", "Id of the leader, 0 for none.", leader);
+    page.gauge(
+        "term",
+        "Current term of the control group.",
+        status.term.0 as f64,
+    );
     page.gauge(
         "applied_index",
-        "Last applied entry of the log.",
+        "Index of the last applied log entry.",
         status.applied.0 as f64,
     );
     page.gauge(
@@ -89,17 +93,17 @@
     let counts = &context.feed.counts;
     page.counter(
         "feed_syncs",
-        "Syncs of routers that had nothing or were far behind.",
+        "Syncs of routers without a configuration or with a very stale one.",
         counts.syncs.load(Ordering::Relaxed),
     );
     page.counter(
         "feed_updates",
-        "Updates of the configuration with only what changed.",
+        "Updates of the configuration that contain only changes.",
         counts.updates.load(Ordering::Relaxed),
     );
     page.gauge(
         "feed_syncs_waiting",
-        "Syncs that wait for their turn or are being sent.",
+        "Syncs that wait for a permit or are being sent.",
         counts.waiting_syncs.load(Ordering::Relaxed) as f64,
     );
 }
@@ -120,7 +124,7 @@
     );
     page.gauge(
         "sessions",
-        "Sessions of clients whose resends are recognised.",
+        "Client sessions whose retried commands are deduplicated.",
         state.sessions.sessions.len() as f64,
     );
     page.gauge(
--- a/crates/controller/src/admin/mod.rs
+++ b/crates/controller/src/admin/mod.rs
@@ -1,4 +1,6 @@
-//! The operators' API: `/admin/v1/...` as JSON, and health pages.
+//! Operators' API: `/admin/v1/...` in JSON, and health and metrics pages.
+//!
+//! Invariant: every page under `/admin/v1/` requires a token with the role of the page.
 
 mod changes;
 mod drain;
@@ -23,7 +25,7 @@
 
 type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
-/// The handler for [`courseshunt_http::serve`].
+/// Returns the request handler for [`courseshunt_http::serve`].
 pub fn handler(
     context: ControllerContext,
     operators: Operators,
@@ -70,7 +72,7 @@
     page(request, &path, context, operator).await
 }
 
-/// Method and role that a page takes.
+/// Method and role that a page requires.
 fn page_rule(path: &str) -> Option<(Method, OperatorRole)> {
     match path {
         "/admin/v1/changes" => Some((Method::POST, OperatorRole::Apply)),
--- a/crates/controller/src/admin/operators.rs
+++ b/crates/controller/src/admin/operators.rs
@@ -1,6 +1,6 @@
-//! Operators, their tokens and roles.
+//! Operators with their tokens and roles.
 //!
-//! Invariant: tokens are kept as digests only.
+//! Invariant: tokens are held in memory only as digests.
 
 use crate::error::ControllerError;
 use crate::read_file;
@@ -8,22 +8,22 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Marks a token that is written as its digest.
+/// Prefix of a token that is written as its digest.
 pub const DIGEST_PREFIX: &str = "sha256:";
 
-/// What an operator may do; a later role includes the earlier ones.
+/// Permissions of an operator; each role includes the roles before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OperatorRole {
-    /// Read everything.
+    /// Read all pages.
     Read,
     /// Change the configuration.
     Apply,
-    /// Change members, drain processes.
+    /// Change the membership and drain processes.
     Operate,
 }
 
 impl OperatorRole {
-    /// The role as written in the file.
+    /// The name of the role in the token file.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -39,16 +39,16 @@
     }
 }
 
-/// An operator, as the history names it.
+/// An operator, under the name that the history shows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Operator {
-    /// Name; the start of the token's digest when the file gives none.
+    /// Name; the first 8 characters of the token's digest when the file contains none.
     pub name: String,
-    /// What the operator may do.
+    /// Permissions of the operator.
     pub role: OperatorRole,
 }
 
-/// Operators by digest of the token.
+/// Operators by the digest of their token.
 #[derive(Debug, Default)]
 pub struct Operators {
     operators: BTreeMap<Digest, Operator>,
@@ -59,7 +59,7 @@
     /// `sha256:DIGEST`. Empty lines and lines with `#` are skipped.
     ///
     /// # Errors
-    /// When the file can't be read or a line is wrong.
+    /// When the file can't be read or a line is malformed.
     pub fn read(path: &Path) -> Result<Self, ControllerError> {
         let text = read_file(path)?;
         let mut operators = Self::default();
@@ -77,7 +77,7 @@
             if !line.contains(DIGEST_PREFIX) {
                 let (path, line) = (path.display(), position + 1);
                 log::warn!(
-                    "admin: {path}:{line}: the token is plain; `courseshunt token` gives a digest for it"
+                    "admin: {path}:{line}: the token is stored in plain text; `courseshunt token` prints its digest"
                 );
             }
             operators.operators.insert(digest, operator);
@@ -85,7 +85,7 @@
         Ok(operators)
     }
 
-    /// The bearer of `token`.
+    /// The operator with `token`.
     #[must_use]
     pub fn bearer(&self, token: &str) -> Option<&Operator> {
         self.operators.get(&Digest::of(token.as_bytes()))
@@ -93,15 +93,15 @@
 }
 
 fn parse(line: &str) -> Option<(Digest, Operator)> {
-    let mut words = line.split_whitespace();
-    let role = OperatorRole::parse(words.next()?)?;
-    let token = words.next()?;
+    let mut fields = line.split_whitespace();
+    let role = OperatorRole::parse(fields.next()?)?;
+    let token = fields.next()?;
     let digest = match token.strip_prefix(DIGEST_PREFIX) {
         Some(digest) => Digest::parse(digest)?,
         None => Digest::of(token.as_bytes()),
     };
-    let name = words.next().map(str::to_owned);
+    let name = fields.next().map(str::to_owned);
     let name = name.unwrap_or_else(|| digest.to_string()[..8].to_owned());
     let operator = Operator { name, role };
-    words.next().is_none().then_some((digest, operator))
+    fields.next().is_none().then_some((digest, operator))
 }
--- a/crates/controller/src/admin/overview.rs
+++ b/crates/controller/src/admin/overview.rs
@@ -1,4 +1,4 @@
-//! `GET /admin/v1/overview`: a person's view of the whole.
+//! `GET /admin/v1/overview`: summary of the control group, routers, runners and deployments.
 
 use crate::ControllerContext;
 use crate::feed::RegisteredRouter;
@@ -11,7 +11,7 @@
 };
 use courseshunt_types::{ControllerId, DeploymentDocument, Millis, Revision};
 
-/// The overview of this moment.
+/// Builds the overview from the current state.
 pub async fn overview(context: &ControllerContext) -> Overview {
     let members = context.replica.members().await;
     let status = context.replica.status().borrow().clone();
--- a/crates/controller/src/admin/pages.rs
+++ b/crates/controller/src/admin/pages.rs
@@ -1,4 +1,4 @@
-//! What operators may read.
+//! Read-only pages of the operators' API.
 
 use crate::ControllerContext;
 use courseshunt_http::{Body, json_response};
@@ -6,10 +6,10 @@
 use hyper::{Response, StatusCode};
 use serde_json::{Value, json};
 
-/// History entries on a page when the query gives no number.
+/// Number of history entries when the query contains no limit.
 const DEFAULT_HISTORY: usize = 20;
 
-/// All deployments in force.
+/// Page with all deployments in force.
 pub fn deployments(context: &ControllerContext) -> Response<Body> {
     let state = context.replica.state();
     let stored = state.configuration.deployments.values();
@@ -17,7 +17,7 @@
     json_response(StatusCode::OK, &documents)
 }
 
-/// All documents in force, with their revision.
+/// Page with all documents in force and their revision.
 pub fn configuration(context: &ControllerContext) -> Response<Body> {
     let state = context.replica.state();
     let configuration = &state.configuration;
@@ -33,7 +33,7 @@
     json_response(StatusCode::OK, &content)
 }
 
-/// Accepted changes, the newest first; `query` may hold `limit=N`.
+/// Page with the accepted changes, the newest first; `query` may be `limit=N`.
 pub fn history(context: &ControllerContext, query: &str) -> Response<Body> {
     let limit = query.strip_prefix("limit=");
     let limit = limit.and_then(|number| number.parse().ok());
@@ -46,12 +46,12 @@
 /// Live routers at which a lower revision than `revision` is in force.
 pub fn lagging(context: &ControllerContext, revision: Revision) -> Vec<Value> {
     let routers = context.routers.all().into_iter();
-    let behind = routers.filter(|router| router.revision < revision);
-    let named = behind.map(|one| json!({"router": one.endpoint.router, "revision": one.revision}));
-    named.collect()
+    let stale = routers.filter(|router| router.revision < revision);
+    let items = stale.map(|one| json!({"router": one.endpoint.router, "revision": one.revision}));
+    items.collect()
 }
 
-/// The control group, routers and replicas.
+/// Page with the state of the control group, routers and replicas.
 pub fn status(context: &ControllerContext) -> Response<Body> {
     let status = context.replica.status().borrow().clone();
     let lagging = lagging(context, status.revision);
--- a/crates/controller/src/admin/replies.rs
+++ b/crates/controller/src/admin/replies.rs
@@ -1,11 +1,11 @@
-//! Replies of the operators' API in JSON.
+//! JSON responses of the operators' API.
 
 use courseshunt_http::{Body, json_response};
 use courseshunt_state::ConfigurationConflict;
 use hyper::{Response, StatusCode};
 use serde_json::{Value, json};
 
-/// An error: `{"error": {"code", "message"}}`.
+/// An error response: `{"error": {"code", "message"}}`.
 pub fn failure(status: StatusCode, code: &str, message: &str) -> Response<Body> {
     json_response(
         status,
@@ -13,7 +13,8 @@
     )
 }
 
-/// A refused batch; names the document, the field and the winner.
+/// The response to a refused batch. It contains the document, the field, and the digest of the
+/// document that won.
 pub fn conflict(conflict: &ConfigurationConflict) -> Response<Body> {
     let (status, content) = conflict_parts(conflict);
     json_response(status, &json!({"error": content}))
--- a/crates/controller/src/feed/configuration.rs
+++ b/crates/controller/src/feed/configuration.rs
@@ -1,10 +1,10 @@
-//! Updates of the configuration: what changed since a revision. Pure.
+//! Builds configuration updates: the documents that changed after a revision. Pure.
 
 use courseshunt_state::{Configuration, DocumentKey, DocumentKind};
 use courseshunt_types::Revision;
 use courseshunt_wire::message::ConfigurationUpdate;
 
-/// Changes of the configuration after `since`; everything when it is 0.
+/// The changes of the configuration after `since`; the full configuration when it is 0.
 #[must_use]
 pub fn update(configuration: &Configuration, since: Revision) -> ConfigurationUpdate {
     let full = since == Revision(0);
@@ -32,7 +32,7 @@
     }
 }
 
-/// Documents that changed after `since`.
+/// Number of deployment documents that changed after `since`.
 #[must_use]
 pub fn changed_documents(configuration: &Configuration, since: Revision) -> usize {
     let deployments = configuration.deployments.values();
--- a/crates/controller/src/feed/frames.rs
+++ b/crates/controller/src/feed/frames.rs
@@ -1,16 +1,16 @@
-//! Frames that many routers get: encoded once for each pair of states.
+//! Cache of frames that go to many routers: encoded once for each pair of start and target state.
 
 use courseshunt_wire::{Frame, Message};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Starting states kept; nearly all routers have one of the last few.
+/// Number of start states in the cache; nearly all routers have one of the latest few.
 const MAX_STARTS: usize = 8;
 
 /// Frames of one message or of the parts of one update.
 pub type Frames = Arc<Vec<Frame>>;
 
-/// Frames that lead to the newest state, by the state they start from.
+/// Frames that lead to the newest state, by start state.
 #[derive(Debug, Default)]
 pub struct FrameCache {
     newest: u64,
@@ -18,8 +18,7 @@
 }
 
 impl FrameCache {
-    /// Frames from state `start` to state `newest`; `make` gives their messages
-    /// when they are not at hand.
+    /// Frames from state `start` to state `newest`; `make` builds their messages on a cache miss.
     pub fn get(&mut self, start: u64, newest: u64, make: impl FnOnce() -> Vec<Message>) -> Frames {
         if self.newest != newest || self.by_start.len() >= MAX_STARTS {
             self.by_start.clear();
@@ -34,7 +33,7 @@
     let frames = messages.iter().filter_map(|message| {
         let frame = Frame::of(message);
         frame
-            .inspect_err(|problem| log::error!("feed: encode an update: {problem}"))
+            .inspect_err(|problem| log::error!("feed: encoding an update failed: {problem}"))
             .ok()
     });
     Arc::new(frames.collect())
--- a/crates/controller/src/feed/jobs.rs
+++ b/crates/controller/src/feed/jobs.rs
@@ -1,8 +1,8 @@
-//! Tells each router the queued jobs that it should execute.
+//! Assigns queued jobs to routers.
 //!
-//! A job's executor is chosen like a queue's owner, so that the jobs of one
-//! deployment gather at one router. Two controllers may choose differently for
-//! a while; the lease in the ledger decides.
+//! Invariant: a job is executed under a lease in the ledger, so a temporary disagreement between
+//! controllers about its executor is harmless. The executor is chosen like a queue's owner, so
+//! that the jobs of a deployment are executed by one router.
 
 use crate::ControllerContext;
 use courseshunt_queue::{QueueKey, owner_of};
@@ -11,24 +11,24 @@
 use courseshunt_wire::message::QueuedJob;
 use std::collections::BTreeMap;
 
-/// Jobs told to one router at a time.
-const MAX_TOLD: usize = 64;
+/// Largest number of jobs in one message to a router.
+const MAX_JOBS: usize = 64;
 
-/// The queued jobs for a router, the earliest deadlines first.
+/// The queued jobs for a router, ordered by deadline.
 pub fn queued_for(context: &ControllerContext, router: &RouterId) -> Vec<QueuedJob> {
     let routers: Vec<RouterId> = live_routers(context);
     let now = UnixMillis::now();
     let state = context.replica.state();
-    let mut owned = BTreeMap::new();
-    let mine = state.jobs.queued().filter(|(_, record)| {
-        let known = owned.entry(record.deployment.clone());
-        *known.or_insert_with(|| executor(&record.deployment, &routers) == Some(router))
+    let mut is_executor = BTreeMap::new();
+    let assigned = state.jobs.queued().filter(|(_, record)| {
+        let cached = is_executor.entry(record.deployment.clone());
+        *cached.or_insert_with(|| executor(&record.deployment, &routers) == Some(router))
     });
-    let mut jobs: Vec<(UnixMillis, QueuedJob)> = mine
+    let mut jobs: Vec<(UnixMillis, QueuedJob)> = assigned
         .map(|(job, record)| (record.deadline, queued_job(job, record, now)))
         .collect();
     jobs.sort_by_key(|(deadline, _)| *deadline);
-    jobs.truncate(MAX_TOLD);
+    jobs.truncate(MAX_JOBS);
     jobs.into_iter().map(|(_, job)| job).collect()
 }
 
--- a/crates/controller/src/feed/mod.rs
+++ b/crates/controller/src/feed/mod.rs
@@ -1,4 +1,4 @@
-//! Feeds to routers, and what routers send back.
+//! Feeds to routers, and the demand, confirmations and commands that routers send back.
 
 pub mod configuration;
 mod frames;
@@ -11,7 +11,7 @@
 mod writer;
 
 pub use placement_index::PlacementIndex;
-pub use registry::{HEARD_LIMIT, RegisteredRouter, RouterRegistry};
+pub use registry::{REPORT_TIMEOUT, RegisteredRouter, RouterRegistry};
 pub use source::{FeedCounts, FeedSource, FeedVersion, MAX_SYNCS};
 
 use crate::ControllerContext;
@@ -20,10 +20,10 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after an accept error.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Starts the feeds; they end at the planned stop.
+/// Starts the feeds; they end at shutdown.
 pub fn start(listener: TcpListener, context: &ControllerContext) {
     let stop = &context.stop;
     let follow = source::follow(context.clone());
@@ -35,7 +35,7 @@
     tokio::spawn(accept_peers(listener, context.clone()));
 }
 
-/// Accepts other processes of the cluster until the planned stop.
+/// Accepts connections of other processes of the cluster until shutdown.
 async fn accept_peers(listener: TcpListener, context: ControllerContext) {
     loop {
         let accepted = tokio::select! {
@@ -47,7 +47,7 @@
                 tokio::spawn(serve_peer(stream, address, context.clone()));
             }
             Err(error) => {
-                log::warn!("feed: accept failed: {error}");
+                log::warn!("feed: accepting a connection failed: {error}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -62,7 +62,7 @@
         Err(error) => Err(error),
     };
     if let Err(error) = ended {
-        log::warn!("feed: connection ended: {error}");
+        log::warn!("feed: connection from {address} failed: {error}");
     }
 }
 
--- a/crates/controller/src/feed/placement_index.rs
+++ b/crates/controller/src/feed/placement_index.rs
@@ -1,10 +1,9 @@
-//! What routers need of the placement, with the log index of each resource's
-//! last change, so that a router gets only what changed since its last update.
-//! Pure.
+//! Index of the placement for routers. It holds the log index of each resource's last change, so
+//! that a router receives only the changes since its last update. Pure.
 //!
-//! Invariant: the stamp of a resource is never lower than the log index of its
-//! last change; so "everything stamped after S" misses nothing that a router
-//! with state S lacks, whichever controller it got S from.
+//! Invariant: the stamp of a resource is never lower than the log index of its last change.
+//! Therefore the resources stamped after S include every change that a router with state S lacks,
+//! whichever controller sent S.
 
 use courseshunt_state::{Placement, ReplicaPhase};
 use courseshunt_types::{DeploymentName, LogIndex, Millis, RunnerId};
@@ -13,12 +12,12 @@
 };
 use std::collections::BTreeMap;
 
-/// See the module.
+/// Runners and replicas with the log index of their last change.
 #[derive(Debug, Default)]
 pub struct PlacementIndex {
-    /// State of the first build; removals before it are not known.
+    /// Log index of the first build; removals before it are unknown.
     baseline: LogIndex,
-    /// State of the last build.
+    /// Log index of the latest build.
     sequence: LogIndex,
     runners: BTreeMap<RunnerId, Stamped<RunnerEndpoint>>,
     deployments: BTreeMap<DeploymentName, Stamped<DeploymentReplicas>>,
@@ -37,7 +36,7 @@
         self.sequence
     }
 
-    /// Brings the index to the placement as of log index `at`.
+    /// Updates the index to the placement at log index `at`.
     pub fn update(&mut self, placement: &Placement, at: LogIndex) {
         if at <= self.sequence {
             return;
@@ -60,22 +59,22 @@
     }
 
     fn update_deployments(&mut self, placement: &Placement, at: LogIndex) {
-        let mut wanted = replicas_by_deployment(placement);
+        let mut current = replicas_by_deployment(placement);
         let emptied = self
             .deployments
             .keys()
-            .filter(|name| !wanted.contains_key(*name));
+            .filter(|name| !current.contains_key(*name));
         let emptied: Vec<DeploymentName> = emptied.cloned().collect();
         for name in emptied {
-            wanted.insert(name.clone(), without_replicas(name));
+            current.insert(name.clone(), without_replicas(name));
         }
-        for (name, replicas) in wanted {
+        for (name, replicas) in current {
             stamp(&mut self.deployments, name, replicas, at);
         }
     }
 
-    /// What changed after `since`; everything for a router that has nothing, or
-    /// too old a state.
+    /// The changes after `since`; the full placement for a router without a state, or with one
+    /// from before the first build.
     #[must_use]
     pub fn since(&self, since: LogIndex) -> PlacementUpdate {
         let full = since < self.baseline || since == LogIndex(0);
--- a/crates/controller/src/feed/registry.rs
+++ b/crates/controller/src/feed/registry.rs
@@ -1,9 +1,9 @@
-//! The live routers: those with a feed connection to this controller, and those
-//! that other controllers reported. Soft state.
+//! Registry of the live routers: those with a feed connection to this controller, and those that
+//! other controllers reported. Volatile state.
 //!
-//! Invariant: a router counts as live as long as some controller has its
-//! connection and is heard; routers of a controller that is silent for
-//! [`HEARD_LIMIT`] are forgotten, since they leave it sooner.
+//! Invariant: a router counts as live while some controller has its connection and reports it.
+//! The routers of a controller that has not reported for [`REPORT_TIMEOUT`] are removed; routers
+//! leave such a controller earlier than that.
 
 use super::frames::{FrameCache, Frames};
 use courseshunt_types::{ControllerId, Epoch, Millis, Revision, RouterId, Timestamp};
@@ -12,13 +12,13 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A controller that reports nothing for so long has no routers any more.
-pub const HEARD_LIMIT: Millis = Millis(10_000);
+/// A controller without a report for this long counts as having no routers.
+pub const REPORT_TIMEOUT: Millis = Millis(10_000);
 
-/// One live router.
+/// A live router.
 pub type RegisteredRouter = ReportedRouter;
 
-/// See the module.
+/// Local and reported routers, with the encoded fleet update.
 #[derive(Debug, Default)]
 pub struct RouterRegistry {
     inner: Mutex<Inner>,
@@ -29,9 +29,9 @@
 struct Inner {
     local: BTreeMap<RouterId, LocalRouter>,
     remote: BTreeMap<ControllerId, RemoteRouters>,
-    /// Grows with each change of the fleet.
+    /// Incremented with each change of the fleet.
     epoch: Epoch,
-    /// Grows with each change of a local router.
+    /// Incremented with each change of a local router.
     last_change: u64,
 }
 
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 struct RemoteRouters {
     routers: BTreeMap<RouterId, RegisteredRouter>,
-    heard_at: Timestamp,
+    reported_at: Timestamp,
 }
 
 impl RemoteRouters {
@@ -64,8 +64,8 @@
         self.last_change
     }
 
-    /// Each router once: as this controller knows it, else as the one that
-    /// knows its highest revision.
+    /// Each router once: the local entry if there is one, else the reported entry with the
+    /// highest revision.
     fn merged(&self) -> BTreeMap<RouterId, RegisteredRouter> {
         let mut merged: BTreeMap<RouterId, RegisteredRouter> = BTreeMap::new();
         let remote = self.remote.values().flat_map(|one| one.routers.values());
@@ -87,7 +87,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds or replaces a router of this controller.
+    /// Adds or replaces a router that is connected to this controller.
     pub fn insert(&self, router: RegisteredRouter) {
         let mut inner = self.lock();
         let changed = inner.next_change();
@@ -96,7 +96,7 @@
         inner.fleet_changed();
     }
 
-    /// Removes a router, unless a newer incarnation has taken its place.
+    /// Removes a router, unless it was replaced by another incarnation.
     pub fn remove(&self, endpoint: &RouterEndpoint) {
         let mut inner = self.lock();
         let known = inner.local.get(&endpoint.router);
@@ -109,7 +109,7 @@
         inner.fleet_changed();
     }
 
-    /// Notes that a router stops as planned and owns no queues any more.
+    /// Marks a router as leaving: it is shutting down and owns no queues any more.
     pub fn leave(&self, router: &RouterId) {
         let mut inner = self.lock();
         let changed = inner.next_change();
@@ -120,7 +120,7 @@
         inner.fleet_changed();
     }
 
-    /// Records the revision in force at a router of this controller.
+    /// Records the revision in force at a router that is connected to this controller.
     pub fn confirm(&self, router: &RouterId, revision: Revision) {
         let mut inner = self.lock();
         let change = inner.last_change + 1;
@@ -134,13 +134,13 @@
         }
     }
 
-    /// The last change of this controller's routers.
+    /// Number of the last change of this controller's routers.
     #[must_use]
     pub fn last_change(&self) -> u64 {
         self.lock().last_change
     }
 
-    /// This controller's routers for the others: all of them, or those that
+    /// Report of this controller's routers for the other controllers: all of them, or those that
     /// changed after `since`.
     #[must_use]
     pub fn report(&self, since: Option<u64>) -> RouterReport {
@@ -154,14 +154,14 @@
         }
     }
 
-    /// Takes another controller's report in.
+    /// Applies the report of another controller.
     pub fn take_report(&self, from: ControllerId, report: RouterReport, now: Timestamp) {
         let mut inner = self.lock();
         let remote = inner.remote.entry(from).or_insert_with(|| RemoteRouters {
             routers: BTreeMap::new(),
-            heard_at: now,
+            reported_at: now,
         });
-        remote.heard_at = now;
+        remote.reported_at = now;
         let before = remote.endpoints();
         if report.full {
             remote.routers.clear();
@@ -176,31 +176,31 @@
         }
     }
 
-    /// Forgets the routers of controllers that are silent.
+    /// Removes the routers of controllers whose reports have timed out.
     pub fn expire(&self, now: Timestamp) {
         let mut inner = self.lock();
-        let silent = |one: &RemoteRouters| now.since(one.heard_at) > HEARD_LIMIT;
+        let timed_out = |one: &RemoteRouters| now.since(one.reported_at) > REPORT_TIMEOUT;
         let before = inner.remote.len();
-        inner.remote.retain(|_, one| !silent(one));
+        inner.remote.retain(|_, one| !timed_out(one));
         if inner.remote.len() < before {
             inner.fleet_changed();
         }
     }
 
-    /// Controllers among `others` that have not reported yet, while this one
-    /// runs too short to know that they have no routers.
+    /// Controllers among `others` that have not reported yet. Empty once this process has run for
+    /// [`REPORT_TIMEOUT`], since a controller without a report then counts as having no routers.
     #[must_use]
-    pub fn unheard(
+    pub fn controllers_without_report(
         &self,
         others: impl IntoIterator<Item = ControllerId>,
         now: Timestamp,
     ) -> Vec<ControllerId> {
-        if now > Timestamp::at(HEARD_LIMIT.0) {
+        if now > Timestamp::at(REPORT_TIMEOUT.0) {
             return Vec::new();
         }
         let inner = self.lock();
-        let unheard = others.into_iter();
-        unheard
+        let others = others.into_iter();
+        others
             .filter(|one| !inner.remote.contains_key(one))
             .collect()
     }
@@ -211,14 +211,14 @@
         self.lock().merged().into_values().collect()
     }
 
-    /// Routers that follow this controller.
+    /// Routers that are connected to this controller.
     #[must_use]
     pub fn local(&self) -> Vec<RegisteredRouter> {
         let inner = self.lock();
         inner.local.values().map(|one| one.router.clone()).collect()
     }
 
-    /// The fleet as sent to routers, and its epoch.
+    /// The encoded fleet update for routers, and its epoch.
     #[must_use]
     pub fn frames(&self) -> (Epoch, Frames) {
         let inner = self.lock();
--- a/crates/controller/src/feed/reports.rs
+++ b/crates/controller/src/feed/reports.rs
@@ -1,6 +1,8 @@
-//! Controllers tell each other which routers follow them, so that each knows the
-//! whole fleet. Changes go out at once, everything every few seconds; what gets
-//! lost comes with the next whole report.
+//! Reports the routers that are connected to this controller to the other controllers, so that
+//! each controller has the whole fleet.
+//!
+//! Invariant: changes are sent within one poll interval, and a full report every few seconds
+//! replaces what was lost.
 
 use crate::ControllerContext;
 use courseshunt_types::ControllerId;
@@ -8,21 +10,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between looks for changes.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between whole reports.
-const WHOLE_INTERVAL: Duration = Duration::from_secs(3);
+/// Interval at which the registry is checked for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between full reports.
+const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Reports until the planned stop.
+/// Sends reports until shutdown.
 pub async fn run(context: ControllerContext) {
     let mut reported = 0;
-    let mut whole_at = Instant::now();
+    let mut next_full_report = Instant::now();
     loop {
         context.routers.expire(context.clock.now());
         let last_change = context.routers.last_change();
-        let whole = Instant::now() >= whole_at;
-        if whole || last_change > reported {
-            let since = (!whole).then_some(reported);
+        let is_full = Instant::now() >= next_full_report;
+        if is_full || last_change > reported {
+            let since = (!is_full).then_some(reported);
             let report = context.routers.report(since);
             for member in other_members(&context).await {
                 let message = Message::RouterReport(report.clone());
@@ -30,14 +32,14 @@
             }
             reported = last_change;
         }
-        if whole {
-            whole_at = Instant::now() + WHOLE_INTERVAL;
+        if is_full {
+            next_full_report = Instant::now() + FULL_REPORT_INTERVAL;
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The other voters and learners.
+/// The voters and learners other than this member.
 pub async fn other_members(context: &ControllerContext) -> Vec<ControllerId> {
     let membership = context.replica.members().await.membership;
     let members = membership.voters.iter().chain(&membership.learners);
--- a/crates/controller/src/feed/session.rs
+++ b/crates/controller/src/feed/session.rs
@@ -1,4 +1,6 @@
-//! The feed of one router.
+//! Feed session of one router.
+//!
+//! Invariant: a router is registered, and its demand kept, only while its session runs.
 
 use super::registry::RegisteredRouter;
 use super::writer::FeedWriter;
@@ -12,11 +14,11 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A router that sends nothing for so long is taken for lost. Routers send at
-/// least twice a second.
-const SILENCE_LIMIT: Duration = Duration::from_secs(5);
-/// Ledger replies that wait to be sent.
-const REPLY_QUEUE: usize = 1024;
+/// A router that sends nothing for this long counts as lost. Routers send at least twice a
+/// second.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Capacity of the queue of ledger replies.
+const REPLY_QUEUE_CAPACITY: usize = 1024;
 
 /// Serves a router until its connection ends.
 pub async fn serve(
@@ -43,7 +45,7 @@
         "feed: router {router} subscribed at revision {}",
         subscribe.revision
     );
-    let (replies, reply_queue) = mpsc::channel(REPLY_QUEUE);
+    let (replies, reply_queue) = mpsc::channel(REPLY_QUEUE_CAPACITY);
     let peer = format!("router {router}");
     let feed = FeedWriter::new(
         context,
@@ -59,8 +61,8 @@
         ended = receive(receiver, &subscribe, context, replies) => ended,
     };
     context.routers.remove(&endpoint);
-    forget_demand(context, &router);
-    log::info!("feed: router {router} left");
+    remove_demand(context, &router);
+    log::info!("feed: session of router {router} ended");
     ended
 }
 
@@ -81,17 +83,18 @@
     replies: mpsc::Sender<Message>,
 ) -> Result<(), WireError> {
     let router = &subscribe.router;
-    while let Some(message) = receive_in_time(&mut receiver, router).await? {
+    while let Some(message) = receive_with_timeout(&mut receiver, router).await? {
         match message {
             Message::Demand { reports } => {
                 record_demand(context, router, reports);
             }
-            Message::Leaving => leaving(router, context),
+            Message::Leaving => handle_leaving(router, context),
             Message::Confirmed { revision } => context.routers.confirm(router, revision),
             Message::Ledger { .. } => {
                 let client = format!("{router}/{}", subscribe.incarnation);
-                let work = ledger(message, client.into(), context.clone(), replies.clone());
-                tokio::spawn(work);
+                let call =
+                    commit_ledger_command(message, client.into(), context.clone(), replies.clone());
+                tokio::spawn(call);
             }
             other => log::warn!("feed: router {router} sent an unexpected message: {other:?}"),
         }
@@ -99,24 +102,24 @@
     Ok(())
 }
 
-/// A router stops as planned: others own its queues from now on.
-fn leaving(router: &RouterId, context: &ControllerContext) {
+/// Handles the notice of a router that is shutting down: other routers own its queues from now on.
+fn handle_leaving(router: &RouterId, context: &ControllerContext) {
     log::info!("feed: router {router} is leaving");
     context.routers.leave(router);
     let (context, router) = (context.clone(), router.clone());
     tokio::spawn(async move {
         let command = Command::RouterLeft { router };
         if let Err(error) = context.replica.submit(command).await {
-            log::info!("feed: {error}");
+            log::info!("feed: recording that a router leaves failed: {error}");
         }
     });
 }
 
-async fn receive_in_time(
+async fn receive_with_timeout(
     receiver: &mut Receiver,
     router: &RouterId,
 ) -> Result<Option<Message>, WireError> {
-    let received = tokio::time::timeout(SILENCE_LIMIT, receiver.receive()).await;
+    let received = tokio::time::timeout(RECEIVE_TIMEOUT, receiver.receive()).await;
     received.unwrap_or_else(|_| {
         Err(WireError::TimedOut {
             step: "receive",
@@ -125,7 +128,7 @@
     })
 }
 
-/// The leader plans with the demand; other members pass it on.
+/// Records demand reports at the leader; any other member relays them to the leader.
 fn record_demand(context: &ControllerContext, router: &RouterId, reports: Vec<DemandReport>) {
     let status = context.replica.status().borrow().clone();
     if status.leads() {
@@ -137,7 +140,7 @@
     }
 }
 
-fn forget_demand(context: &ControllerContext, router: &RouterId) {
+fn remove_demand(context: &ControllerContext, router: &RouterId) {
     context.demand.forget(router);
     let status = context.replica.status().borrow().clone();
     if let (false, Some(leader)) = (status.leads(), status.leader) {
@@ -145,7 +148,7 @@
     }
 }
 
-async fn ledger(
+async fn commit_ledger_command(
     message: Message,
     client: ClientId,
     context: ControllerContext,
--- a/crates/controller/src/feed/source.rs
+++ b/crates/controller/src/feed/source.rs
@@ -1,9 +1,8 @@
-//! What all feeds of this controller share: the placement by resource, encoded
-//! updates, the last confirmation by a quorum, and a signal that something
-//! changed.
+//! State that all feeds of this controller share: the placement index, encoded updates, the last
+//! confirmation by a quorum, and a change signal.
 //!
-//! Invariant: a confirmation names a revision that is applied here, and the
-//! moment before the quorum was asked.
+//! Invariant: a confirmation carries a revision that is applied here, and a time before the quorum
+//! was queried.
 
 use super::configuration::{changed_documents, update};
 use super::frames::{FrameCache, Frames};
@@ -18,29 +17,28 @@
 use std::time::Duration;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 
-/// Restart syncs that one controller serves together.
+/// Largest number of concurrent full syncs at one controller.
 pub const MAX_SYNCS: usize = 8;
-/// Shortest time between two looks at the replicated state; changes in between
-/// go out together.
+/// Shortest time between two reads of the replicated state; changes in between are sent together.
 const COALESCE_INTERVAL: Duration = Duration::from_millis(10);
-/// Time between confirmations by a quorum.
+/// Pause between confirmations by a quorum.
 pub const CONFIRMATION_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for one confirmation.
+/// Timeout of one confirmation.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the feeds can send.
+/// Newest state that the feeds can send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct FeedVersion {
     /// Revision of the configuration.
     pub revision: Revision,
-    /// State of the placement.
+    /// Log index of the placement.
     pub placement: LogIndex,
 }
 
-/// A confirmation by a quorum: at this moment, `revision` was the newest.
+/// A confirmation by a quorum that `revision` was the newest one at a certain time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Confirmation {
-    /// Before the quorum was asked.
+    /// Time before the quorum was queried.
     pub at: Timestamp,
     /// Revision applied here afterwards.
     pub revision: Revision,
@@ -49,11 +47,11 @@
 /// Counters for the metrics page.
 #[derive(Debug, Default)]
 pub struct FeedCounts {
-    /// Syncs of routers that had nothing or were far behind.
+    /// Syncs of routers without a configuration or with a very stale one.
     pub syncs: AtomicU64,
-    /// Updates with only what changed.
+    /// Updates that contain only changes.
     pub updates: AtomicU64,
-    /// Syncs that wait for their turn.
+    /// Syncs that wait for a permit or are being sent.
     pub waiting_syncs: AtomicU64,
 }
 
@@ -63,7 +61,7 @@
     }
 }
 
-/// See the module.
+/// Shared state of the feeds.
 #[derive(Debug)]
 pub struct FeedSource {
     version: watch::Sender<FeedVersion>,
@@ -95,20 +93,20 @@
 }
 
 impl FeedSource {
-    /// Changes of what can be sent.
+    /// Subscription to the newest state that can be sent.
     #[must_use]
     pub fn versions(&self) -> watch::Receiver<FeedVersion> {
         self.version.subscribe()
     }
 
-    /// Time since the last confirmation, and its revision.
+    /// Age and revision of the last confirmation.
     #[must_use]
     pub fn confirmation(&self, now: Timestamp) -> Option<(Millis, Revision)> {
         let confirmation = (*lock(&self.confirmation))?;
         Some((now.since(confirmation.at), confirmation.revision))
     }
 
-    /// The placement that changed after `since`, and the state it leads to.
+    /// Log index of the newest placement, and the changes that lead to it from `since`.
     #[must_use]
     pub fn placement_since(&self, since: LogIndex) -> (LogIndex, Frames) {
         let index = self.placement.read();
@@ -119,7 +117,7 @@
         (newest, frames)
     }
 
-    /// Whether a router with `since` needs a sync rather than an update.
+    /// Whether a router at revision `since` needs a sync instead of an update.
     #[must_use]
     pub fn needs_sync(&self, replica: &ReplicaHandle, since: Revision) -> bool {
         let state = replica.state();
@@ -127,13 +125,12 @@
         since == Revision(0) || changed > DOCUMENTS_PER_PART
     }
 
-    /// A turn to sync, held while the parts are sent.
-    pub async fn sync_turn(&self) -> Option<OwnedSemaphorePermit> {
+    /// Waits for a sync permit, which is held while the parts are sent.
+    pub async fn acquire_sync_permit(&self) -> Option<OwnedSemaphorePermit> {
         self.sync_permits.clone().acquire_owned().await.ok()
     }
 
-    /// Parts of the configuration after `since`, and the revision that they
-    /// lead to.
+    /// Newest revision, and the parts of the configuration that lead to it from `since`.
     #[must_use]
     pub fn configuration_since(
         &self,
@@ -169,8 +166,8 @@
 
     async fn confirm(&self, replica: &ReplicaHandle, clock: MonotonicClock) {
         let at = clock.now();
-        let asked = tokio::time::timeout(CONFIRMATION_TIMEOUT, replica.read_barrier()).await;
-        if !matches!(asked, Ok(Ok(_))) {
+        let confirmed = tokio::time::timeout(CONFIRMATION_TIMEOUT, replica.read_barrier()).await;
+        if !matches!(confirmed, Ok(Ok(_))) {
             return;
         }
         let revision = replica.state().configuration.revision;
@@ -178,7 +175,7 @@
     }
 }
 
-/// Follows the replicated state until the planned stop.
+/// Follows the replicated state until shutdown.
 pub async fn follow(context: ControllerContext) {
     let mut status = context.replica.status();
     loop {
@@ -190,7 +187,7 @@
     }
 }
 
-/// Asks a quorum again and again whether this member is up to date.
+/// Periodically confirms with a quorum that this member is up to date.
 pub async fn confirm(context: ControllerContext) {
     loop {
         context.feed.confirm(&context.replica, context.clock).await;
--- a/crates/controller/src/feed/writer.rs
+++ b/crates/controller/src/feed/writer.rs
@@ -1,7 +1,7 @@
-//! The sending side of one router's feed.
+//! Sending side of one router's feed.
 //!
-//! Invariants: revisions and placements only go up on one connection; a
-//! configuration in parts is sent whole before anything newer.
+//! Invariants: revisions and placements only increase on one connection; all parts of a
+//! configuration are sent before a newer one.
 
 use super::jobs;
 use super::source::{CONFIRMATION_INTERVAL, FeedCounts};
@@ -14,12 +14,12 @@
 use tokio::sync::mpsc;
 use tokio::time::Interval;
 
-/// Longest time in which a router must take one message.
+/// Timeout of sending one message to a router.
 const SEND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Shortest time between two lists of the live routers.
+/// Shortest time between two updates of the fleet.
 const FLEET_INTERVAL: Duration = Duration::from_millis(200);
 
-/// See the module.
+/// Sends configuration, placement, fleet, jobs and confirmations to one router.
 pub struct FeedWriter<'a> {
     context: &'a ControllerContext,
     sender: Sender,
@@ -27,16 +27,16 @@
     peer: String,
     /// The router.
     router: RouterEndpoint,
-    /// Jobs as last told.
+    /// Jobs in the last message to the router.
     jobs: Vec<JobId>,
-    /// Whether the router was told to stop.
+    /// Whether the drain message was sent.
     drained: bool,
     revision: Revision,
     placement: LogIndex,
     fleet: Epoch,
 }
 
-/// Waits for the next time of an interval, without catching up.
+/// An interval that delays missed ticks instead of bursting.
 fn every(length: Duration) -> Interval {
     let mut interval = tokio::time::interval(length);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -44,7 +44,7 @@
 }
 
 impl<'a> FeedWriter<'a> {
-    /// A feed for a router that has `revision` and `placement`.
+    /// Creates a feed for a router that has `revision` and `placement`.
     pub fn new(
         context: &'a ControllerContext,
         sender: Sender,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Sends what changes until the connection ends.
+    /// Sends changes until the connection ends.
     pub async fn run(mut self, mut replies: mpsc::Receiver<Message>) -> Result<(), WireError> {
         let mut versions = self.context.feed.versions();
         let mut fleet = every(FLEET_INTERVAL);
@@ -97,33 +97,33 @@
         }
     }
 
-    /// Tells the queued jobs when others are queued than before.
+    /// Sends the queued jobs when they differ from the last message.
     async fn send_jobs(&mut self) -> Result<(), WireError> {
         let jobs = jobs::queued_for(self.context, &self.router.router);
-        let told: Vec<JobId> = jobs.iter().map(|job| job.job.clone()).collect();
-        if told == self.jobs {
+        let job_ids: Vec<JobId> = jobs.iter().map(|job| job.job.clone()).collect();
+        if job_ids == self.jobs {
             return Ok(());
         }
-        self.jobs = told;
+        self.jobs = job_ids;
         self.send(&Message::Jobs { jobs }).await
     }
 
-    /// Tells the router to stop when an operator asked for it.
+    /// Sends the drain message once when an operator has requested the drain of the router.
     async fn send_drain(&mut self) -> Result<(), WireError> {
-        let wanted = {
+        let drain_requested = {
             let state = self.context.replica.state();
             let drains = &state.drains;
             drains.wants_router(&self.router.router, self.router.incarnation)
         };
-        if !wanted || self.drained {
+        if !drain_requested || self.drained {
             return Ok(());
         }
         self.drained = true;
         self.send(&Message::Drain).await
     }
 
-    /// Waits for a turn, then sends the configuration in parts. Replies and
-    /// confirmations go on meanwhile.
+    /// Waits for a sync permit, then sends the configuration in parts. Replies and confirmations
+    /// are sent during the wait.
     async fn sync(
         &mut self,
         replies: &mut mpsc::Receiver<Message>,
@@ -132,11 +132,11 @@
         let counts = &self.context.feed.counts;
         counts.waiting_syncs.fetch_add(1, Ordering::Relaxed);
         let _waiting = WaitingSync(self.context);
-        let turn = self.context.feed.sync_turn();
-        tokio::pin!(turn);
-        let _turn = loop {
+        let permit = self.context.feed.acquire_sync_permit();
+        tokio::pin!(permit);
+        let _permit = loop {
             tokio::select! {
-                turn = &mut turn => break turn,
+                permit = &mut permit => break permit,
                 _ = confirmation.tick() => self.confirm().await?,
                 Some(reply) = replies.recv() => self.send(&reply).await?,
             }
@@ -212,7 +212,7 @@
     }
 }
 
-/// Counts a waiting sync down when it ends, however it ends.
+/// Decrements the number of waiting syncs when a sync ends for any reason.
 struct WaitingSync<'a>(&'a ControllerContext);
 
 impl Drop for WaitingSync<'_> {
--- a/crates/controller/src/peers/addresses.rs
+++ b/crates/controller/src/peers/addresses.rs
@@ -85,9 +85,9 @@
         let versions = self.versions.lock();
         let versions = versions.unwrap_or_else(PoisonError::into_inner);
         let is_current = |member| versions.get(member) == Some(&PROTOCOL_VERSION);
-        let others = members.iter().filter(|member| !is_current(member));
+        let not_current = members.iter().filter(|member| !is_current(member));
         // This member has no connection, and so no recorded version, of its own.
-        others.count() <= 1
+        not_current.count() <= 1
     }
 
     /// Connects to the member recorded under `address`. Members of the previous release have no
--- a/crates/controller/tests/registry.rs
+++ b/crates/controller/tests/registry.rs
@@ -1,7 +1,7 @@
 //! Contract of the registry of routers: who counts as live, with what revision,
 //! as controllers report to each other.
 
-use courseshunt_controller::feed::{HEARD_LIMIT, RegisteredRouter, RouterRegistry};
+use courseshunt_controller::feed::{REPORT_TIMEOUT, RegisteredRouter, RouterRegistry};
 use courseshunt_types::{ControllerId, Incarnation, Millis, Revision, Timestamp};
 use courseshunt_wire::message::RouterEndpoint;
 
@@ -60,7 +60,7 @@
     assert_eq!(live(&here), "a@1 b@2 d@2");
 
     // A silent controller's routers leave it, and are forgotten here.
-    let limit = Timestamp(3) + HEARD_LIMIT;
+    let limit = Timestamp(3) + REPORT_TIMEOUT;
     here.expire(limit);
     assert_eq!(live(&here), "a@1 b@2 d@2");
     here.expire(limit + Millis(1));
@@ -82,13 +82,19 @@
 fn a_controller_that_has_just_started_knows_whom_it_has_not_heard() {
     let registry = RouterRegistry::default();
     let others = [ControllerId(2), ControllerId(3)];
-    assert_eq!(registry.unheard(others, Timestamp(1)), others);
+    assert_eq!(
+        registry.controllers_without_report(others, Timestamp(1)),
+        others
+    );
     let report = RouterRegistry::default().report(None);
     registry.take_report(OTHER, report, Timestamp(1));
-    assert_eq!(registry.unheard(others, Timestamp(1)), [ControllerId(3)]);
+    assert_eq!(
+        registry.controllers_without_report(others, Timestamp(1)),
+        [ControllerId(3)]
+    );
     // After the limit, a silent controller has no routers any more.
-    let late = Timestamp::at(HEARD_LIMIT.0 + 1);
-    assert!(registry.unheard(others, late).is_empty());
+    let late = Timestamp::at(REPORT_TIMEOUT.0 + 1);
+    assert!(registry.controllers_without_report(others, late).is_empty());
 }
 
 #[test]
