--- a/crates/controller/tests/admin.rs
+++ b/crates/controller/tests/admin.rs
@@ -1,5 +1,5 @@
-//! Contract of the operators' API: tokens and roles, versions over HTTP, dry
-//! runs, history, operators who race, resends.
+//! Contract of the operators' API: tokens and roles, versions over HTTP, dry runs, history,
+//! concurrent changes, and retries.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 #[tokio::test]
-async fn tokens_and_roles() {
+async fn pages_require_a_token_with_the_right_role() {
     let api = Api::start().await;
     let cases = [
         ("GET", "/admin/v1/status", "", 401),
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn answers_to_changes() {
+async fn responses_to_changes_and_dry_runs() {
     let api = Api::start().await;
     let winner = {
         let document = serde_json::from_value(change("", 1, 10)["deployments"][0].clone());
@@ -81,7 +81,7 @@
     assert_eq!(api.apply("", "c4", 3, 12).await.0, 200);
     let (status, content) = api.apply("", "c5", 2, 13).await;
     assert_eq!((status, &content["error"]["current"]), (409, &json!(3)));
-    // The lost answer of the first change is asked for after a newer version.
+    // The first change is retried, as after a lost response, when a newer version is in force.
     let (status, content) = api.apply("", "c1", 1, 10).await;
     let expected = json!({"revision": 1, "current_revision": 2});
     assert_eq!((status, content), (200, expected));
@@ -96,20 +96,20 @@
 }
 
 #[tokio::test]
-async fn operators_who_race_under_one_version_have_one_winner() {
+async fn concurrent_changes_to_one_version_have_one_winner() {
     let api = Api::start().await;
     let api = std::sync::Arc::new(api);
-    let mut racers = tokio::task::JoinSet::new();
+    let mut changes = tokio::task::JoinSet::new();
     for memory in 1..=16_u64 {
         let api = api.clone();
-        racers.spawn(async move {
+        changes.spawn(async move {
             (
                 memory,
                 api.apply("", &format!("race-{memory}"), 1, memory).await,
             )
         });
     }
-    let results = racers.join_all().await;
+    let results = changes.join_all().await;
     let accepted: Vec<u64> = results
         .iter()
         .filter(|(_, (status, _))| *status == 200)
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn the_metrics_page_tells_about_log_feed_and_sessions() {
+async fn the_metrics_page_contains_log_feed_and_session_metrics() {
     let api = Api::start().await;
     assert_eq!(api.apply("", "c1", 1, 10).await.0, 200);
     let _router = subscribe(&api, "router-1", 0).await;
@@ -155,7 +155,7 @@
         "courseshunt_wire_bytes_total{kind=\"configuration\",way=\"sent\"} ",
     ];
     for name in names {
-        assert!(page.contains(name), "no `{name}` in\n{page}");
+        assert!(page.contains(name), "metric `{name}` is missing in\n{page}");
     }
     api.controller.stop().await;
 }
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! One controller on loopback sockets, with a client of its operators' API.
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use courseshunt_controller::Controller;
 use courseshunt_http::HttpClient;
@@ -15,7 +15,7 @@
 
 pub const KEY: &str = "a cluster key for tests";
 /// Longest wait for a condition.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 pub struct Api {
     pub controller: Controller,
@@ -52,7 +52,7 @@
 }
 
 impl Api {
-    /// A controller alone, which leads.
+    /// Starts a single controller and waits until it leads.
     pub async fn start() -> Self {
         let folder = tempfile::tempdir().unwrap();
         let settings = settings(folder.path(), 1, "");
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Where its log lies.
+    /// The folder with the controller's log.
     pub fn data_folder(&self) -> std::path::PathBuf {
         self.folder.path().join("data")
     }
@@ -91,7 +91,7 @@
         let token = Some(token);
         let call = self
             .client
-            .call(method, &address, path, token, content, PATIENCE);
+            .call(method, &address, path, token, content, TIMEOUT);
         let reply = call.await.unwrap();
         let body = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
         (reply.status.as_u16(), body)
@@ -109,12 +109,12 @@
         self.call(Method::POST, &path, "apply-token", &change).await
     }
 
-    /// A page as text, without a token.
+    /// Reads a page as text, without a token.
     pub async fn text(&self, path: &str) -> String {
         let address = self.controller.http_address.to_string();
         let call = self
             .client
-            .call::<()>(Method::GET, &address, path, None, None, PATIENCE);
+            .call::<()>(Method::GET, &address, path, None, None, TIMEOUT);
         String::from_utf8(call.await.unwrap().body.to_vec()).unwrap()
     }
 
@@ -127,7 +127,7 @@
     }
 }
 
-/// A group of voting controllers, one of which leads.
+/// Starts a group of voting controllers and waits until one leads.
 pub async fn start_group(size: usize) -> Vec<Api> {
     let any = "127.0.0.1:0".parse().unwrap();
     let listeners = (0..size).map(|_| courseshunt_wire::listen(any).unwrap());
@@ -156,11 +156,11 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, wait).await;
-    assert!(waited.is_ok(), "not in time: {what}");
+    let waited = tokio::time::timeout(TIMEOUT, wait).await;
+    assert!(waited.is_ok(), "timed out waiting for: {what}");
 }
 
-/// A router's connection, subscribed to the feed of `api` from a revision on.
+/// Connects as a router and subscribes to the feed of `api` from a revision on.
 pub async fn subscribe(api: &Api, router: &str, revision: u64) -> Connection {
     let key = ClusterKey::new(KEY.as_bytes()).unwrap();
     let identity = PeerIdentity::Router(router.into(), Incarnation(1));
--- a/crates/controller/tests/control_group.rs
+++ b/crates/controller/tests/control_group.rs
@@ -1,6 +1,5 @@
-//! A group of real controllers on loopback sockets: commands at any member,
-//! planned stop of the leader, restart from disk, a member that joins, a damaged
-//! one that rejoins.
+//! A group of real controllers on loopback sockets: commands at any member, graceful shutdown of
+//! the leader, restart from disk, a member that joins, and the replacement of a damaged one.
 
 use courseshunt_consensus::MembershipChange;
 use courseshunt_controller::Controller;
@@ -14,7 +13,7 @@
 use tokio::net::TcpListener;
 
 /// Longest wait for a condition.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -32,7 +31,7 @@
         wire_address: any_port(),
         voters: voters.to_vec(),
         data_folder: folder.join(format!("controller-{id}")),
-        // Nothing listens there: no runners are known.
+        // Nothing listens at this port, so there are no runners.
         platform_address: SocketAddr::from(([127, 0, 0, 1], 1)),
         operator_token_file: file("operators", "operate some-token\n"),
         runner_token_file: file("runner.token", "token"),
@@ -60,8 +59,8 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, wait).await;
-    waited.unwrap_or_else(|_| panic!("not in time: {what}"));
+    let waited = tokio::time::timeout(TIMEOUT, wait).await;
+    waited.unwrap_or_else(|_| panic!("timed out waiting until {what}"));
 }
 
 fn leader_of(controllers: &[Controller]) -> Option<usize> {
@@ -90,7 +89,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_group_serves_at_every_member_through_stop_restart_and_growth() {
+async fn every_member_serves_through_shutdown_restart_and_membership_changes() {
     let folder = tempfile::tempdir().unwrap();
     let mut voters = Vec::new();
     let mut listeners = Vec::new();
@@ -106,7 +105,7 @@
         controllers.push(start(settings(folder.path(), voter.id.0, &voters), wire).await);
     }
 
-    // Commands at every member, the first perhaps before there is a leader.
+    // Commands at every member; the first may be sent before there is a leader.
     for (position, controller) in controllers.iter().enumerate() {
         let number = position as u64 + 1;
         assert_eq!(change(controller, number).await, Revision(number));
@@ -114,23 +113,23 @@
         assert_eq!(revision(controller), Revision(number));
     }
 
-    // A planned stop of the leader, then a change through the others.
+    // Graceful shutdown of the leader, then a change through another member.
     let leader = leader_of(&controllers).unwrap();
     let stopped = controllers.remove(leader);
     let stopped_id = stopped.context().settings.id;
     stopped.stop().await;
     assert_eq!(change(&controllers[0], 4).await, Revision(4));
 
-    // The stopped member returns with its disk.
-    let place = voters.iter().position(|one| one.id == stopped_id).unwrap();
-    let mut wire = TcpListener::bind(voters[place].address).await;
+    // The stopped member restarts from its disk.
+    let position = voters.iter().position(|one| one.id == stopped_id).unwrap();
+    let mut wire = TcpListener::bind(voters[position].address).await;
     while wire.is_err() {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        wire = TcpListener::bind(voters[place].address).await;
+        wire = TcpListener::bind(voters[position].address).await;
     }
-    let again = settings(folder.path(), stopped_id.0, &voters);
-    controllers.push(start(again, wire.unwrap()).await);
-    until("the returned member has the change", || {
+    let restarted = settings(folder.path(), stopped_id.0, &voters);
+    controllers.push(start(restarted, wire.unwrap()).await);
+    until("the restarted member has the change", || {
         revision(&controllers[2]) == Revision(4)
     })
     .await;
@@ -144,11 +143,11 @@
     let replica = &controllers[0].context().replica;
     replica.submit(command).await.unwrap();
     let joining = start(settings(folder.path(), 4, &voters), wire).await;
-    for wanted in [
+    for change in [
         MembershipChange::AddLearner(ControllerId(4)),
         MembershipChange::Promote(ControllerId(4)),
     ] {
-        replica.change_membership(wanted).await.unwrap();
+        replica.change_membership(change).await.unwrap();
     }
     until("the new member has the configuration", || {
         revision(&joining) == Revision(4)
@@ -158,8 +157,8 @@
     assert!(members.membership.is_voter(ControllerId(4)));
     assert_eq!(change(&joining, 5).await, Revision(5));
 
-    // A member whose log is damaged refuses to start, and says where; the
-    // machine comes back under a new identity in its place.
+    // A member with a damaged log refuses to start and reports the position of the damage. The
+    // machine replaces it under a new id.
     let damaged = controllers.remove(1);
     let lost = damaged.context().settings.id;
     damaged.stop().await;
@@ -176,20 +175,20 @@
     };
     let replica = &controllers[0].context().replica;
     replica.submit(command).await.unwrap();
-    let present = present_members(&voters, &joining);
-    let rejoined = start(settings(folder.path(), 5, &present), wire).await;
+    let members = current_members(&voters, &joining);
+    let replacement = start(settings(folder.path(), 5, &members), wire).await;
     let learner = ControllerId(5);
-    for wanted in [
+    for change in [
         MembershipChange::AddLearner(learner),
         MembershipChange::Replace { lost, learner },
     ] {
-        replica.change_membership(wanted).await.unwrap();
+        replica.change_membership(change).await.unwrap();
     }
-    until("the machine is back with the configuration", || {
-        revision(&rejoined) == Revision(5)
+    until("the replacement has the configuration", || {
+        revision(&replacement) == Revision(5)
     })
     .await;
-    assert_eq!(change(&rejoined, 6).await, Revision(6));
+    assert_eq!(change(&replacement, 6).await, Revision(6));
 }
 
 /// Flips a byte in the first record of the oldest segment.
@@ -205,11 +204,11 @@
     std::fs::write(segment, content).unwrap();
 }
 
-fn present_members(voters: &[PeerAddress], joined: &Controller) -> Vec<PeerAddress> {
-    let mut present = voters.to_vec();
-    present.push(PeerAddress {
+fn current_members(voters: &[PeerAddress], joined: &Controller) -> Vec<PeerAddress> {
+    let mut members = voters.to_vec();
+    members.push(PeerAddress {
         id: joined.context().settings.id,
         address: joined.wire_address,
     });
-    present
+    members
 }
--- a/crates/controller/tests/feed.rs
+++ b/crates/controller/tests/feed.rs
@@ -1,9 +1,9 @@
-//! Contract of the feed at a controller: a restarting router is synced, not
-//! replayed to; a router that was away gets what changed; updates are deltas.
+//! Contract of a controller's feed: a restarted router receives one sync instead of the history, a
+//! reconnecting router receives only the changes, and updates are deltas.
 
 mod common;
 
-use common::{Api, PATIENCE, change, subscribe};
+use common::{Api, TIMEOUT, change, subscribe};
 use courseshunt_controller::feed::PlacementIndex;
 use courseshunt_controller::feed::configuration::update;
 use courseshunt_state::{
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn parts_of_an_update_end_with_the_last() {
+fn only_the_last_part_of_an_update_has_no_more() {
     let mut configuration = Configuration::default();
     for (documents, expected_parts) in
         [(1, 1), (DOCUMENTS_PER_PART, 1), (DOCUMENTS_PER_PART + 1, 2)]
@@ -127,9 +127,9 @@
     }
 }
 
-/// Updates until a router that has `own` has `revision` whole, and a quorum has confirmed it.
-/// A confirmation may come before the update that it confirms: it tells what the controller
-/// has, not what it has sent.
+/// Receives updates until a router that starts at revision `own` has all of `revision` and a quorum
+/// has confirmed it. A confirmation may arrive before the update that it confirms, since it
+/// describes what the controller has, not what it has sent.
 async fn follow(connection: &mut Connection, own: u64, revision: u64) -> Vec<ConfigurationUpdate> {
     let mut updates: Vec<ConfigurationUpdate> = Vec::new();
     let work = async {
@@ -142,8 +142,8 @@
                     ..
                 } => {
                     let last = updates.last().map(|update| update.revision);
-                    let whole = last.unwrap_or(Revision(own)) >= Revision(revision);
-                    if whole && confirmed >= Revision(revision) {
+                    let is_complete = last.unwrap_or(Revision(own)) >= Revision(revision);
+                    if is_complete && confirmed >= Revision(revision) {
                         return;
                     }
                 }
@@ -151,16 +151,16 @@
             }
         }
     };
-    let followed = tokio::time::timeout(PATIENCE, work).await;
+    let followed = tokio::time::timeout(TIMEOUT, work).await;
     assert!(
         followed.is_ok(),
-        "revision {revision} did not come: {updates:?}"
+        "revision {revision} did not arrive in time: {updates:?}"
     );
     updates
 }
 
 #[tokio::test]
-async fn a_restarting_router_is_synced_and_a_late_one_gets_the_changes() {
+async fn a_restarted_router_is_synced_and_a_stale_one_gets_the_changes() {
     const CHANGES: u64 = 300;
     let api = Api::start().await;
     for version in 1..=CHANGES {
@@ -175,18 +175,18 @@
     }
     let mut restarted = subscribe(&api, "restarted", 0).await;
     let updates = follow(&mut restarted, 0, CHANGES).await;
-    assert_eq!(updates.len(), 1, "a sync, not 300 changes");
+    assert_eq!(updates.len(), 1, "one sync instead of 300 changes");
     assert!(updates[0].full);
     assert_eq!(updates[0].deployments.len(), 7);
 
-    let mut late = subscribe(&api, "late", CHANGES - 2).await;
-    let updates = follow(&mut late, CHANGES - 2, CHANGES).await;
+    let mut stale = subscribe(&api, "late", CHANGES - 2).await;
+    let updates = follow(&mut stale, CHANGES - 2, CHANGES).await;
     let documents = updates.iter().flat_map(|update| &update.deployments);
     let versions: BTreeSet<u64> = documents.map(|one| one.document.version.0).collect();
     assert_eq!(versions, BTreeSet::from([CHANGES - 1, CHANGES]));
     assert!(updates.iter().all(|update| !update.full));
 
-    // One that is ahead, because another controller fed it, gets nothing older.
+    // A router with a newer revision, received from another controller, gets nothing older.
     let mut ahead = subscribe(&api, "ahead", CHANGES + 1).await;
     let mut content = change("next", CHANGES + 1, 1);
     content["deployments"][0]["name"] = "d0".into();
@@ -198,6 +198,6 @@
             .await
             .is_empty()
     );
-    assert_eq!(follow(&mut late, CHANGES, CHANGES + 1).await.len(), 1);
+    assert_eq!(follow(&mut stale, CHANGES, CHANGES + 1).await.len(), 1);
     api.controller.stop().await;
 }
--- a/crates/controller/tests/group.rs
+++ b/crates/controller/tests/group.rs
@@ -1,9 +1,9 @@
-//! Contract of the operators' API and the feed over a group of controllers: any
-//! member takes a change, and knows the routers of all.
+//! Contract of the operators' API and the feed in a group of controllers: every member accepts
+//! changes and has the routers of all members.
 
 mod common;
 
-use common::{Api, PATIENCE, start_group, subscribe, until};
+use common::{Api, TIMEOUT, start_group, subscribe, until};
 use courseshunt_types::{Millis, Revision};
 use courseshunt_wire::Message;
 use serde_json::{Value, json};
@@ -11,12 +11,12 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Age at which routers leave a feed.
+/// Age of a confirmation at which routers leave a feed.
 const STALE_LIMIT: Millis = Millis(3_000);
-/// Time between a router's signs of life.
+/// Interval between a router's heartbeats.
 const ALIVE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Follows a feed and confirms each revision up to the one that `allowed` gives.
+/// Follows a feed and confirms each revision up to the limit in `allowed`.
 async fn follow(api: &Api, router: &str, allowed: watch::Receiver<u64>) -> JoinHandle<()> {
     let mut connection = subscribe(api, router, 0).await;
     tokio::spawn(async move {
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn any_member_takes_a_change_and_waits_for_the_routers_of_all() {
+async fn every_member_accepts_changes_and_waits_for_the_routers_of_all() {
     let group = start_group(3).await;
     let (allow, allowed) = watch::channel(u64::MAX);
     let (slow_allow, slow_allowed) = watch::channel(u64::MAX);
@@ -65,11 +65,11 @@
         let name = format!("router-{}", position + 1);
         routers.push(follow(api, &name, allowed.clone()).await);
     }
-    until("all routers are known to all", || {
+    until("every member has all routers", || {
         group.iter().all(|api| routers_at(api) == 3)
     })
     .await;
-    // Through each member in turn, followers included.
+    // One change through each member, followers included.
     for (position, api) in group.iter().enumerate() {
         let version = position as u64 + 1;
         let change_id = format!("c{version}");
@@ -80,7 +80,7 @@
         });
         assert_eq!((status, content), (200, expected));
     }
-    // One router confirms nothing newer: every member names it.
+    // One router confirms no newer revision: every member reports it as lagging.
     slow_allow.send_replace(3);
     for (position, api) in group.iter().enumerate() {
         let version = position as u64 + 4;
@@ -91,10 +91,10 @@
     }
     slow_allow.send_replace(u64::MAX);
     let (_, content) = group[0].apply("?wait_seconds=20", "c6", 6, 10).await;
-    assert_eq!(content["in_force"], true, "a resend waits, too: {content}");
-    // A router that has left is not waited for.
+    assert_eq!(content["in_force"], true, "a retry also waits: {content}");
+    // A change does not wait for a router that has disconnected.
     routers.remove(1).abort();
-    until("the router is forgotten", || {
+    until("every member has removed the router", || {
         group.iter().all(|api| routers_at(api) == 2)
     })
     .await;
@@ -105,13 +105,13 @@
 }
 
 #[tokio::test]
-async fn the_configuration_goes_on_after_the_leader_has_stopped() {
+async fn changes_are_accepted_after_the_leader_has_stopped() {
     let mut group = start_group(3).await;
     let (status, content) = group[0].apply("", "c1", 1, 10).await;
     assert_eq!(status, 200, "{content}");
     let leader = group.iter().position(Api::leads).unwrap();
     group.remove(leader).controller.stop().await;
-    // A resend of the first, then a new one, through both that are left.
+    // A retry of the first change through both remaining members, then a new change.
     for api in &group {
         let (status, content) = api.apply("", "c1", 1, 10).await;
         assert_eq!(
@@ -126,19 +126,19 @@
         (200, &json!(2)),
         "{content}"
     );
-    // A router that had both from the member that is gone gets nothing older.
+    // A router that received both from the stopped member gets no older or equal revision.
     for api in &group {
         let mut feed = subscribe(api, "moved", 2).await;
         let confirmed = async {
             loop {
                 match feed.receiver.receive().await.unwrap().unwrap() {
-                    Message::Configuration(update) => panic!("older or equal: {update:?}"),
+                    Message::Configuration(update) => panic!("older or equal revision: {update:?}"),
                     Message::FeedConfirmation { revision, .. } if revision >= Revision(2) => return,
                     _ => {}
                 }
             }
         };
-        let confirmed = tokio::time::timeout(PATIENCE, confirmed).await;
+        let confirmed = tokio::time::timeout(TIMEOUT, confirmed).await;
         assert!(confirmed.is_ok(), "revision 2 was not confirmed in time");
     }
     for api in group {
@@ -147,35 +147,35 @@
 }
 
 #[tokio::test]
-async fn operators_who_race_through_all_members_have_one_winner() {
+async fn concurrent_changes_through_all_members_have_one_winner() {
     let group = std::sync::Arc::new(start_group(3).await);
-    let mut racers = tokio::task::JoinSet::new();
+    let mut changes = tokio::task::JoinSet::new();
     for memory in 1..=12_u64 {
         let group = group.clone();
-        racers.spawn(async move {
+        changes.spawn(async move {
             let api = &group[memory as usize % group.len()];
             let (status, _) = api.apply("", &format!("race-{memory}"), 1, memory).await;
             (memory, status)
         });
     }
-    let results = racers.join_all().await;
-    let won = results.iter().filter(|(_, status)| *status == 200);
-    let won: Vec<u64> = won.map(|(memory, _)| *memory).collect();
-    assert_eq!(won.len(), 1, "{results:?}");
-    let lost = results.iter().filter(|(_, status)| *status == 409).count();
-    assert_eq!(lost, 11, "{results:?}");
+    let results = changes.join_all().await;
+    let accepted = results.iter().filter(|(_, status)| *status == 200);
+    let accepted: Vec<u64> = accepted.map(|(memory, _)| *memory).collect();
+    assert_eq!(accepted.len(), 1, "{results:?}");
+    let refused = results.iter().filter(|(_, status)| *status == 409).count();
+    assert_eq!(refused, 11, "{results:?}");
     for api in group.iter() {
-        until("the winner is applied", || {
+        until("the accepted change is applied", || {
             let state = api.controller.context().replica.state();
             let stored = state.configuration.deployments.values().next();
-            stored.is_some_and(|stored| stored.document.memory_mib == won[0])
+            stored.is_some_and(|stored| stored.document.memory_mib == accepted[0])
         })
         .await;
     }
 }
 
 #[tokio::test]
-async fn a_member_without_a_quorum_tells_how_old_its_feed_is() {
+async fn a_member_without_a_quorum_sends_the_growing_age_of_its_feed() {
     let mut group = start_group(3).await;
     let (status, content) = group[0].apply("", "c1", 1, 10).await;
     assert_eq!(status, 200, "{content}");
@@ -189,7 +189,7 @@
     for api in group {
         api.controller.stop().await;
     }
-    let grown_old = async {
+    let stale = async {
         let mut alive = tokio::time::interval(ALIVE_INTERVAL);
         loop {
             tokio::select! {
@@ -205,7 +205,10 @@
             }
         }
     };
-    let grown_old = tokio::time::timeout(PATIENCE, grown_old).await;
-    assert!(grown_old.is_ok(), "the confirmation did not grow old");
+    let stale = tokio::time::timeout(TIMEOUT, stale).await;
+    assert!(
+        stale.is_ok(),
+        "the age of the confirmation did not exceed the limit in time"
+    );
     last.controller.stop().await;
 }
--- a/crates/controller/tests/registry.rs
+++ b/crates/controller/tests/registry.rs
@@ -1,5 +1,5 @@
-//! Contract of the registry of routers: who counts as live, with what revision,
-//! as controllers report to each other.
+//! Contract of the router registry: which routers count as live, at which revision, as controllers
+//! report their routers to each other.
 
 use courseshunt_controller::feed::{REPORT_TIMEOUT, RegisteredRouter, RouterRegistry};
 use courseshunt_types::{ControllerId, Incarnation, Millis, Revision, Timestamp};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn reports_keep_all_controllers_in_step() {
+fn reports_keep_registries_consistent() {
     let (here, there) = (RouterRegistry::default(), RouterRegistry::default());
     here.insert(router("a", 1));
     there.insert(router("b", 1));
@@ -37,7 +37,7 @@
     here.take_report(OTHER, there.report(None), Timestamp(1));
     assert_eq!(live(&here), "a@1 b@1 c@1");
 
-    // Only what changed is reported; who has left is told by absence.
+    // A delta contains only changed routers; a removed router is absent from its list.
     let reported = there.last_change();
     there.confirm(&"b".into(), Revision(2));
     there.remove(&router("c", 1).endpoint);
@@ -46,7 +46,7 @@
     here.take_report(OTHER, delta, Timestamp(2));
     assert_eq!(live(&here), "a@1 b@2");
 
-    // A router that moved here counts as it is known here.
+    // The local entry of a router that moved here takes precedence.
     here.insert(router("b", 1));
     assert_eq!(live(&here), "a@1 b@1");
     here.confirm(&"b".into(), Revision(3));
@@ -54,12 +54,12 @@
     assert_eq!(live(&here), "a@1 b@3");
     here.remove(&router("b", 1).endpoint);
 
-    // A lost report is healed by the next whole one.
+    // A full report replaces what a lost report contained.
     there.insert(router("d", 2));
     here.take_report(OTHER, there.report(None), Timestamp(3));
     assert_eq!(live(&here), "a@1 b@2 d@2");
 
-    // A silent controller's routers leave it, and are forgotten here.
+    // The routers of a controller without reports are removed after the timeout.
     let limit = Timestamp(3) + REPORT_TIMEOUT;
     here.expire(limit);
     assert_eq!(live(&here), "a@1 b@2 d@2");
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_controller_that_has_just_started_knows_whom_it_has_not_heard() {
+fn a_started_controller_lists_controllers_without_a_report() {
     let registry = RouterRegistry::default();
     let others = [ControllerId(2), ControllerId(3)];
     assert_eq!(
@@ -92,13 +92,13 @@
         registry.controllers_without_report(others, Timestamp(1)),
         [ControllerId(3)]
     );
-    // After the limit, a silent controller has no routers any more.
+    // After the timeout, a controller without a report counts as having no routers.
     let late = Timestamp::at(REPORT_TIMEOUT.0 + 1);
     assert!(registry.controllers_without_report(others, late).is_empty());
 }
 
 #[test]
-fn the_epoch_changes_with_the_fleet_only() {
+fn the_epoch_changes_only_with_the_fleet() {
     let registry = RouterRegistry::default();
     let (first, frames) = registry.frames();
     assert_eq!(frames.len(), 1);
--- a/crates/controller/tests/scheduler_cores.rs
+++ b/crates/controller/tests/scheduler_cores.rs
@@ -1,4 +1,4 @@
-//! Contract of the scheduler's pure parts, with the faults in tables.
+//! Contract of the scheduler's pure parts, with fault cases in tables.
 
 use courseshunt_controller::scheduler::{
     LoadTracker, Moment, ReconcileAction, ReplicaUsage, Takeover, reconcile,
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn runners_are_brought_to_what_was_decided() {
+fn reconciliation_brings_runners_to_the_decided_state() {
     use ReconcileAction as Action;
     use ReplicaPhase::{Loading, Ready, Withdrawn};
     let load = Action::OrderLoad(key(), fence(5));
@@ -68,11 +68,11 @@
     let release = Action::FenceAndRelease(key(), fence(5));
     let withdraw = Action::Withdraw(key(), fence(5));
     let confirm = Action::Confirm(key(), fence(5));
-    let stray = Action::OrderUnloadUndecided("a".into(), fence(5));
+    let unload_undecided = Action::OrderUnloadUndecided("a".into(), fence(5));
     let cases = [
         ("order lost", Some(Loading), false, None, Some(load)),
         (
-            "died mid-load",
+            "failed during the load",
             Some(Loading),
             true,
             None,
@@ -94,21 +94,21 @@
             Some(confirm),
         ),
         (
-            "serves",
+            "ready",
             Some(Ready),
             true,
             Some((5, LoadPhase::Ready)),
             None,
         ),
         (
-            "old load under a new decision",
+            "load of an older decision",
             Some(Loading),
             false,
             Some((4, LoadPhase::Ready)),
             Some(unload.clone()),
         ),
         (
-            "a newer decision than this member knows",
+            "decision newer than this member's log",
             Some(Ready),
             false,
             Some((6, LoadPhase::Ready)),
@@ -130,11 +130,11 @@
         ),
         ("unloaded", Some(Withdrawn), false, None, Some(release)),
         (
-            "nobody decided it",
+            "undecided replica",
             None,
             false,
             Some((5, LoadPhase::Loading)),
-            Some(stray),
+            Some(unload_undecided),
         ),
     ];
     for (case, phase, accepted, held, expected) in cases {
@@ -146,12 +146,12 @@
 }
 
 #[test]
-fn an_inventory_asked_for_before_the_order_proves_no_death() {
+fn an_inventory_requested_before_the_order_does_not_prove_a_failed_load() {
     let mut loads = LoadTracker::new(3, 6);
     loads.order_accepted(&key(), fence(5), Timestamp(100));
     let cases = [
-        ("asked before", fence(5), 100, false),
-        ("asked after", fence(5), 101, true),
+        ("requested before", fence(5), 100, false),
+        ("requested after", fence(5), 101, true),
         ("another decision", fence(6), 101, false),
     ];
     for (case, fence, requested_at, expected) in cases {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn adopted_loads_take_their_place_at_the_weight_store_and_slowness_lowers_it() {
+fn adopted_loads_occupy_the_weight_store_and_overdue_loads_lower_its_limit() {
     let mut loads = LoadTracker::new(3, 6);
     let moment = Moment {
         now: Timestamp(50_000),
@@ -190,17 +190,17 @@
 }
 
 #[test]
-fn a_new_leader_waits_for_the_holders_but_not_for_ever() {
+fn a_new_leader_waits_a_limited_time_for_runners_with_replicas() {
     let takeover = Takeover {
         term: Term(2),
         began: Timestamp(1000),
     };
     let holders: [RunnerId; 2] = ["r1".into(), "r2".into()];
     let cases = [
-        ("nobody answered", 1500, vec![], false),
-        ("one is silent", 1500, vec!["r1"], false),
+        ("none answered", 1500, vec![], false),
+        ("one has not answered", 1500, vec!["r1"], false),
         ("all answered", 1500, vec!["r1", "r2"], true),
-        ("one stays silent", 4000, vec!["r1"], true),
+        ("one has not answered in time", 4000, vec!["r1"], true),
     ];
     for (case, now, answered, expected) in cases {
         let may = takeover.may_plan(Timestamp(now), holders.iter(), |runner| {
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn use_is_known_for_each_replica_and_a_new_leader_presumes_it() {
+fn use_is_tracked_for_each_replica_and_assumed_by_a_new_leader() {
     let mut usage = ReplicaUsage::default();
     let at = |now| Moment {
         now: Timestamp::at(now),
@@ -222,9 +222,9 @@
     let ready = record(ReplicaPhase::Ready);
     let steps = [
         ("became ready", 10_000, 0, None, 10_000),
-        ("quiet", 20_000, 0, None, 10_000),
-        ("runs", 30_000, 2, None, 30_000),
-        ("quiet again", 40_000, 0, None, 30_000),
+        ("idle", 20_000, 0, None, 10_000),
+        ("running", 30_000, 2, None, 30_000),
+        ("idle again", 40_000, 0, None, 30_000),
         ("a short request", 50_000, 0, Some(45_000), 45_000),
     ];
     for (step, now, running, arrival, last_used) in steps {
--- a/crates/controller/tests/scheduler_runners.rs
+++ b/crates/controller/tests/scheduler_runners.rs
@@ -1,4 +1,5 @@
-//! The scheduler against runners on sockets: failover, deaths, silence, notice.
+//! The scheduler with runners on sockets: failover, crashes, unresponsive runners and leave
+//! notices.
 
 mod support;
 
@@ -10,13 +11,13 @@
 use std::time::Duration;
 use support::{RUNNER_TOKEN, Site, until};
 
-/// Speed at which a load of 60 MiB takes a second or more.
-const SLOW: f64 = 40.0;
-const FAST: f64 = 10_000.0;
+/// Transfer rate at which a load of 60 MiB takes at least one second.
+const SLOW_MIB_PER_SECOND: f64 = 40.0;
+const FAST_MIB_PER_SECOND: f64 = 10_000.0;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_new_leader_adopts_a_load_in_progress() {
-    let mut site = Site::start(SLOW).await;
+    let mut site = Site::start(SLOW_MIB_PER_SECOND).await;
     let runner = site.add_runner("r1", 1).await;
     site.configure("a").await;
     site.demand("a", 3);
@@ -36,14 +37,14 @@
     assert_eq!(records.len(), 1);
     assert_eq!(
         records[0].fence, decided[0].fence,
-        "adopted, not decided anew"
+        "the load is adopted, not decided again"
     );
     assert_eq!(runner.overcommit_attempts(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_runner_that_dies_mid_load_is_decided_anew_under_its_new_incarnation() {
-    let site = Site::start(SLOW).await;
+async fn a_load_on_a_crashed_runner_is_decided_again_for_its_new_incarnation() {
+    let site = Site::start(SLOW_MIB_PER_SECOND).await;
     let runner = site.add_runner("r1", 1).await;
     site.configure("a").await;
     site.demand("a", 3);
@@ -53,7 +54,7 @@
     .await;
     let first = site.replicas("a")[0].clone();
     runner.stop();
-    let again = site.add_runner("r1", 2).await;
+    let restarted = site.add_runner("r1", 2).await;
     until("the model serves", || site.served_by("a").is_some()).await;
     let records = site.replicas("a");
     assert_eq!(records.len(), 1);
@@ -64,14 +65,14 @@
         incarnation: Some(first.incarnation),
         action: OrderAction::Unload,
     };
-    let rejection = refused(&again.address.to_string(), &late).await;
+    let rejection = send_rejected(&restarted.address.to_string(), &late).await;
     assert!(matches!(rejection, OrderRejection::OtherIncarnation { .. }));
-    assert_eq!(again.overcommit_attempts(), 0);
+    assert_eq!(restarted.overcommit_attempts(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_hung_runner_delays_nobody_and_keeps_its_reservation() {
-    let site = Site::start(FAST).await;
+async fn an_unresponsive_runner_delays_no_other_and_keeps_its_reservation() {
+    let site = Site::start(FAST_MIB_PER_SECOND).await;
     let hung = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     site.list("r0", hung.local_addr().unwrap(), MachineState::Live);
     let runner = site.add_runner("r1", 1).await;
@@ -80,24 +81,25 @@
     until("the model serves", || site.served_by("a").is_some()).await;
     site.list("r1", hung.local_addr().unwrap(), MachineState::Live);
     let context = site.controller().context();
-    until("r1 is silent", || {
+    until("r1 is unreachable", || {
         let seen = context.scheduler.runners.get(&"r1".into());
         seen.is_none_or(|seen| !seen.is_fresh(context.clock.now()))
     })
     .await;
     let records = site.replicas("a");
-    assert_eq!(records.len(), 1, "it counts as a replica");
-    assert_eq!(records[0].memory_mib, 60, "and keeps its memory");
+    assert_eq!(records.len(), 1, "the replica still counts");
+    assert_eq!(records[0].memory_mib, 60, "its memory stays reserved");
     site.list("r1", runner.address, MachineState::Gone);
-    until("the platform declared it gone", || {
-        site.replicas("a").is_empty()
-    })
+    until(
+        "the replica is released after the platform lists r1 as gone",
+        || site.replicas("a").is_empty(),
+    )
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn memory_is_never_overcommitted_and_old_fences_are_refused() {
-    let site = Site::start(FAST).await;
+    let site = Site::start(FAST_MIB_PER_SECOND).await;
     let runners = [
         site.add_runner("r1", 1).await,
         site.add_runner("r2", 1).await,
@@ -128,25 +130,25 @@
             incarnation: None,
             action: OrderAction::Unload,
         };
-        let rejection = refused(&runner.address.to_string(), &stale).await;
+        let rejection = send_rejected(&runner.address.to_string(), &stale).await;
         assert!(matches!(rejection, OrderRejection::StaleFence { .. }));
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_machine_with_notice_is_drained_and_its_replica_replaced() {
-    let site = Site::start(FAST).await;
+async fn a_leaving_machine_is_drained_and_its_replica_replaced() {
+    let site = Site::start(FAST_MIB_PER_SECOND).await;
     let first = site.add_runner("r1", 1).await;
     site.configure("a").await;
     site.demand("a", 1);
     until("the model serves", || site.served_by("a").is_some()).await;
     let _second = site.add_runner("r2", 1).await;
     site.list("r1", first.address, MachineState::Leaving);
-    until("it serves elsewhere", || {
+    until("r2 serves the model", || {
         site.served_by("a") == Some("r2".into())
     })
     .await;
-    until("the old one is drained", || {
+    until("r1 is drained", || {
         let records = site.replicas("a");
         records.iter().all(|one| one.replica.runner == "r2".into())
             && records.iter().all(|one| one.phase == ReplicaPhase::Ready)
@@ -155,7 +157,7 @@
     assert!(first.inventory().deployments.is_empty());
 }
 
-async fn refused(address: &str, order: &OrderRequest) -> OrderRejection {
+async fn send_rejected(address: &str, order: &OrderRequest) -> OrderRejection {
     let client = HttpClient::default();
     let reply = client
         .call(
--- a/crates/controller/tests/support/mod.rs
+++ b/crates/controller/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A controller with stand-in runners, weight store and platform on loopback.
+//! A controller with simulated runners, weight store and platform on loopback.
 
 use courseshunt_controller::Controller;
 use courseshunt_queue::{DemandReport, WaitingByClass};
@@ -15,7 +15,7 @@
 /// Token of the runners' control interface.
 pub const RUNNER_TOKEN: &str = "runner-token";
 /// Longest wait for a condition.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 pub struct Site {
     pub platform: PlatformServer,
@@ -29,7 +29,7 @@
 }
 
 impl Site {
-    /// A site without runners whose weight store moves `mib_per_second`.
+    /// Starts a site without runners whose weight store transfers `mib_per_second`.
     pub async fn start(mib_per_second: f64) -> Self {
         let folder = tempfile::tempdir().unwrap();
         for (file, content) in [
@@ -83,7 +83,7 @@
         self.controller.as_ref().unwrap()
     }
 
-    /// Adds a runner of 100 MiB of accelerator memory.
+    /// Adds a runner with 100 MiB of accelerator memory.
     pub async fn add_runner(&self, name: &str, incarnation: u64) -> RunnerServer {
         let mut settings = RunnerModelSettings::named(name, "a", 100);
         settings.incarnation = Incarnation(incarnation);
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Configures a deployment of 60 MiB.
+    /// Configures a deployment that needs 60 MiB of accelerator memory.
     pub async fn configure(&self, name: &str) {
         let document: DeploymentDocument = serde_json::from_value(serde_json::json!({
             "name": name, "version": 1, "model": name, "tenant": "souss", "memory_mib": 60
@@ -121,7 +121,7 @@
         replica.submit(command).await.unwrap();
     }
 
-    /// Reports `waiting` waiting requests.
+    /// Reports a demand of `waiting` queued requests.
     pub fn demand(&self, deployment: &str, waiting: u32) {
         let context = self.controller().context();
         let waiting = WaitingByClass {
@@ -161,11 +161,11 @@
 
 /// Waits until a condition holds.
 pub async fn until(what: &str, condition: impl Fn() -> bool) {
-    let deadline = tokio::time::Instant::now() + PATIENCE;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     while !condition() {
         assert!(
             tokio::time::Instant::now() < deadline,
-            "not reached: {what}"
+            "timed out waiting for: {what}"
         );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
