--- a/crates/controller/src/replica/handle.rs
+++ b/crates/controller/src/replica/handle.rs
@@ -356,7 +356,7 @@
     }
 
     /// Starts a leadership transfer to a voter, if this member leads.
-    pub fn hand_over(&self, to: ControllerId) {
+    pub fn transfer_leadership(&self, to: ControllerId) {
         let _ = self.actor.cast(ReplicaMessage::Transfer { to: Some(to) });
     }
 
--- a/crates/coordinator/src/lead.rs
+++ b/crates/coordinator/src/lead.rs
@@ -302,7 +302,7 @@
         OrderTurn::Record => record_holder(shared, leadership),
         OrderTurn::HandOver(holder) => {
             emit(&ControllerRecord::HandsOver { to: holder.0 });
-            shared.replica.hand_over(holder);
+            shared.replica.transfer_leadership(holder);
         }
     }
     false
