--- a/crates/controller/src/demand.rs
+++ b/crates/controller/src/demand.rs
@@ -29,7 +29,7 @@
     at: Timestamp,
 }
 
-/// Arrivals of one deployment since they were last taken.
+/// Arrivals of one deployment since the last call of [`DemandTracker::take_arrivals`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrivals {
     /// The deployment.
@@ -60,7 +60,7 @@
     }
 
     /// Removes the reports of a router that has disconnected.
-    pub fn forget(&self, router: &RouterId) {
+    pub fn remove_router(&self, router: &RouterId) {
         for demand in self.lock().values_mut() {
             demand.by_router.remove(router);
         }
@@ -121,7 +121,7 @@
         .min();
     if report.waiting.total() > 0 {
         let oldest = received.at - report.longest_wait;
-        let known = view.oldest_arrival.unwrap_or(oldest);
-        view.oldest_arrival = Some(known.min(oldest));
+        let current = view.oldest_arrival.unwrap_or(oldest);
+        view.oldest_arrival = Some(current.min(oldest));
     }
 }
--- a/crates/controller/src/feed/registry.rs
+++ b/crates/controller/src/feed/registry.rs
@@ -110,7 +110,7 @@
     }
 
     /// Marks a router as leaving: it is shutting down and owns no queues any more.
-    pub fn leave(&self, router: &RouterId) {
+    pub fn mark_leaving(&self, router: &RouterId) {
         let mut inner = self.lock();
         let changed = inner.next_change();
         if let Some(known) = inner.local.get_mut(router) {
@@ -155,7 +155,7 @@
     }
 
     /// Applies the report of another controller.
-    pub fn take_report(&self, from: ControllerId, report: RouterReport, now: Timestamp) {
+    pub fn apply_report(&self, from: ControllerId, report: RouterReport, now: Timestamp) {
         let mut inner = self.lock();
         let remote = inner.remote.entry(from).or_insert_with(|| RemoteRouters {
             routers: BTreeMap::new(),
--- a/crates/controller/src/feed/session.rs
+++ b/crates/controller/src/feed/session.rs
@@ -105,7 +105,7 @@
 /// Handles the notice of a router that is shutting down: other routers own its queues from now on.
 fn handle_leaving(router: &RouterId, context: &ControllerContext) {
     log::info!("feed: router {router} is leaving");
-    context.routers.leave(router);
+    context.routers.mark_leaving(router);
     let (context, router) = (context.clone(), router.clone());
     tokio::spawn(async move {
         let command = Command::RouterLeft { router };
@@ -141,7 +141,7 @@
 }
 
 fn remove_demand(context: &ControllerContext, router: &RouterId) {
-    context.demand.forget(router);
+    context.demand.remove_router(router);
     let status = context.replica.status().borrow().clone();
     if let (false, Some(leader)) = (status.leads(), status.leader) {
         context.peers.relay_gone(leader, router);
--- a/crates/controller/src/peers/inbound.rs
+++ b/crates/controller/src/peers/inbound.rs
@@ -39,7 +39,7 @@
         ended = inbound.receive_all(receiver) => ended,
     };
     for router in &inbound.routers {
-        context.demand.forget(router);
+        context.demand.remove_router(router);
     }
     ended
 }
@@ -94,7 +94,7 @@
             } => self.handle_demand(router, reports, gone),
             Message::RouterReport(report) => {
                 let now = self.context.clock.now();
-                self.context.routers.take_report(self.peer, report, now);
+                self.context.routers.apply_report(self.peer, report, now);
             }
             other => log::warn!(
                 "peers: controller {} sent an unexpected message: {other:?}",
@@ -106,7 +106,7 @@
     fn handle_demand(&mut self, router: RouterId, reports: Vec<DemandReport>, gone: bool) {
         let demand = &self.context.demand;
         if gone || !self.context.replica.leads() {
-            demand.forget(&router);
+            demand.remove_router(&router);
             self.routers.remove(&router);
             return;
         }
--- a/crates/controller/src/peers/link.rs
+++ b/crates/controller/src/peers/link.rs
@@ -38,17 +38,17 @@
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn expect(&self, call: CallId) -> oneshot::Receiver<Message> {
+    pub(super) fn register(&self, call: CallId) -> oneshot::Receiver<Message> {
         let (reply, received) = oneshot::channel();
         self.lock().insert(call, reply);
         received
     }
 
-    pub(super) fn forget(&self, call: CallId) {
+    pub(super) fn remove(&self, call: CallId) {
         self.lock().remove(&call);
     }
 
-    fn finish(&self, call: CallId, message: Message) {
+    fn complete(&self, call: CallId, message: Message) {
         if let Some(reply) = self.lock().remove(&call) {
             let _ = reply.send(message);
         }
@@ -203,7 +203,7 @@
                 Message::ForwardReply { call, .. }
                 | Message::ReadIndexReply { call, .. }
                 | Message::ChangeMembershipReply { call, .. } => {
-                    self.pending.finish(*call, message);
+                    self.pending.complete(*call, message);
                 }
                 Message::PeerAlive => {}
                 other => log::warn!(
--- a/crates/controller/src/peers/mod.rs
+++ b/crates/controller/src/peers/mod.rs
@@ -113,10 +113,10 @@
         message: impl FnOnce(CallId) -> Message,
     ) -> Option<Message> {
         let call = CallId(self.shared.last_call.fetch_add(1, Ordering::Relaxed) + 1);
-        let reply = self.shared.pending.expect(call);
+        let reply = self.shared.pending.register(call);
         self.send(to, message(call));
         let replied = tokio::time::timeout(timeout, reply).await;
-        self.shared.pending.forget(call);
+        self.shared.pending.remove(call);
         replied.ok()?.ok()
     }
 
--- a/crates/controller/src/replica/actor.rs
+++ b/crates/controller/src/replica/actor.rs
@@ -17,8 +17,8 @@
 
 /// Interval between ticks of the core.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Interval between the first ticks. It is shorter than the jitter of the election timeouts, so
-/// that members that start together become candidates at different times.
+/// Interval between the first ticks. It is short enough to resolve the jitter by which members that
+/// start together differ in the time of their first candidacy.
 const STARTUP_TICK_INTERVAL: Duration = Duration::from_millis(4);
 /// Number of ticks at the shorter interval.
 const STARTUP_TICKS: u32 = 15;
--- a/crates/controller/src/scheduler/runner_table.rs
+++ b/crates/controller/src/scheduler/runner_table.rs
@@ -12,7 +12,7 @@
 /// Latest observation of each runner.
 #[derive(Debug, Default)]
 pub struct RunnerTable {
-    seen: Mutex<BTreeMap<RunnerId, Arc<RunnerObservation>>>,
+    observations: Mutex<BTreeMap<RunnerId, Arc<RunnerObservation>>>,
 }
 
 /// Latest inventory and load report of a runner.
@@ -44,7 +44,9 @@
 
 impl RunnerTable {
     fn lock(&self) -> MutexGuard<'_, BTreeMap<RunnerId, Arc<RunnerObservation>>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+        self.observations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The latest observation of a runner.
@@ -58,13 +60,13 @@
     pub fn answered_since(&self, runner: &RunnerId, moment: Timestamp) -> bool {
         self.lock()
             .get(runner)
-            .is_some_and(|seen| seen.requested_at >= moment)
+            .is_some_and(|observation| observation.requested_at >= moment)
     }
 
     /// Replaces the observation of a runner.
-    pub fn record(&self, seen: RunnerObservation) {
-        let runner = seen.inventory.runner.clone();
-        self.lock().insert(runner, Arc::new(seen));
+    pub fn record(&self, observation: RunnerObservation) {
+        let runner = observation.inventory.runner.clone();
+        self.lock().insert(runner, Arc::new(observation));
     }
 
     /// Removes all observations, at the end of the leadership.
--- a/crates/controller/src/scheduler/usage.rs
+++ b/crates/controller/src/scheduler/usage.rs
@@ -49,7 +49,7 @@
         let usage = self
             .replicas
             .entry(record.replica.clone())
-            .or_insert_with(|| first_seen(record, moment));
+            .or_insert_with(|| initial_usage(record, moment));
         if usage.fence != record.fence || usage.phase != record.phase {
             *usage = Usage {
                 fence: record.fence,
@@ -81,7 +81,7 @@
 /// Initial usage at a new leader. The log holds the time at which a load was decided, but not the
 /// use of a ready replica; it counts as used now, so that no replica is unloaded because its use
 /// is unknown.
-fn first_seen(record: &ReplicaRecord, moment: Moment) -> Usage {
+fn initial_usage(record: &ReplicaRecord, moment: Moment) -> Usage {
     let placed = moment.of_wall(record.placed_at);
     let since = match record.phase {
         ReplicaPhase::Loading => placed,
--- a/crates/controller/src/scheduler/view.rs
+++ b/crates/controller/src/scheduler/view.rs
@@ -90,8 +90,10 @@
 }
 
 fn tier_on(runners: &RunnerTable, runner: &RunnerId, model: &ModelName) -> CacheTier {
-    let seen = runners.get(runner);
-    let cached = seen.iter().flat_map(|seen| &seen.inventory.cached);
+    let observation = runners.get(runner);
+    let cached = observation
+        .iter()
+        .flat_map(|observation| &observation.inventory.cached);
     let tiers = cached.filter(|item| item.model == *model);
     tiers
         .map(|item| item.tier)
@@ -106,9 +108,13 @@
     record: &RunnerRecord,
     now: Timestamp,
 ) -> RunnerView {
-    let seen = scheduler.runners.get(&record.runner);
-    let reachable = seen.as_ref().is_some_and(|seen| seen.is_fresh(now));
-    let inventory = seen.as_ref().map(|seen| &seen.inventory);
+    let observation = scheduler.runners.get(&record.runner);
+    let reachable = observation
+        .as_ref()
+        .is_some_and(|observation| observation.is_fresh(now));
+    let inventory = observation
+        .as_ref()
+        .map(|observation| &observation.inventory);
     let host_memory_mib = inventory.map_or(0, |one| one.host_memory_mib);
     let disk_mib = inventory.map_or(0, |one| one.disk_mib);
     let mut staging = loads.staging_on(&record.runner);
@@ -153,8 +159,8 @@
     };
     let records = state.placement.of_deployment(name);
     let views = records.map(|record| {
-        let seen = runners.get(&record.replica.runner);
-        let running = seen.map_or(0, |seen| seen.running(name));
+        let observation = runners.get(&record.replica.runner);
+        let running = observation.map_or(0, |observation| observation.running(name));
         let running = if only {
             running.max(demand.running)
         } else {
--- a/crates/controller/src/scheduler/watch.rs
+++ b/crates/controller/src/scheduler/watch.rs
@@ -169,8 +169,9 @@
     /// not contain the new machine of the same name yet.
     fn is_listing_outdated(&self, machine: &MachineItem) -> bool {
         let now = self.context.clock.now();
-        let seen = self.scheduler.runners.get(&machine.runner);
-        machine.state == MachineState::Gone && seen.is_some_and(|seen| seen.is_fresh(now))
+        let observation = self.scheduler.runners.get(&machine.runner);
+        machine.state == MachineState::Gone
+            && observation.is_some_and(|observation| observation.is_fresh(now))
     }
 
     async fn watch_runner(self, runner: RunnerId) {
--- a/crates/controller/tests/registry.rs
+++ b/crates/controller/tests/registry.rs
@@ -34,7 +34,7 @@
     here.insert(router("a", 1));
     there.insert(router("b", 1));
     there.insert(router("c", 1));
-    here.take_report(OTHER, there.report(None), Timestamp(1));
+    here.apply_report(OTHER, there.report(None), Timestamp(1));
     assert_eq!(live(&here), "a@1 b@1 c@1");
 
     // A delta contains only changed routers; a removed router is absent from its list.
@@ -43,7 +43,7 @@
     there.remove(&router("c", 1).endpoint);
     let delta = there.report(Some(reported));
     assert_eq!((delta.full, delta.routers.len()), (false, 1));
-    here.take_report(OTHER, delta, Timestamp(2));
+    here.apply_report(OTHER, delta, Timestamp(2));
     assert_eq!(live(&here), "a@1 b@2");
 
     // The local entry of a router that moved here takes precedence.
@@ -56,7 +56,7 @@
 
     // A full report replaces what a lost report contained.
     there.insert(router("d", 2));
-    here.take_report(OTHER, there.report(None), Timestamp(3));
+    here.apply_report(OTHER, there.report(None), Timestamp(3));
     assert_eq!(live(&here), "a@1 b@2 d@2");
 
     // The routers of a controller without reports are removed after the timeout.
@@ -87,7 +87,7 @@
         others
     );
     let report = RouterRegistry::default().report(None);
-    registry.take_report(OTHER, report, Timestamp(1));
+    registry.apply_report(OTHER, report, Timestamp(1));
     assert_eq!(
         registry.controllers_without_report(others, Timestamp(1)),
         [ControllerId(3)]
--- a/crates/controller/tests/replica_limits.rs
+++ b/crates/controller/tests/replica_limits.rs
@@ -9,7 +9,7 @@
 
 /// Length of a document that exceeds the largest message between controllers, in bytes.
 const OVERSIZED_BYTES: usize = 17 * 1024 * 1024;
-/// Length of a document of which two fill a segment, in bytes.
+/// Length of a document, two of which fill a segment, in bytes.
 const HALF_SEGMENT_BYTES: usize = 6 * 1024 * 1024;
 
 fn document(number: u64, length: usize) -> Command {
--- a/crates/controller/tests/scheduler_runners.rs
+++ b/crates/controller/tests/scheduler_runners.rs
@@ -82,8 +82,8 @@
     site.list("r1", hung.local_addr().unwrap(), MachineState::Live);
     let context = site.controller().context();
     until("r1 is unreachable", || {
-        let seen = context.scheduler.runners.get(&"r1".into());
-        seen.is_none_or(|seen| !seen.is_fresh(context.clock.now()))
+        let observation = context.scheduler.runners.get(&"r1".into());
+        observation.is_none_or(|observation| !observation.is_fresh(context.clock.now()))
     })
     .await;
     let records = site.replicas("a");
