--- a/crates/controller/src/demand.rs
+++ b/crates/controller/src/demand.rs
@@ -60,7 +60,7 @@
     }
 
     /// Removes the reports of a router that has disconnected.
-    pub fn remove_router(&self, router: &RouterId) {
+    pub fn forget(&self, router: &RouterId) {
         for demand in self.lock().values_mut() {
             demand.by_router.remove(router);
         }
--- a/crates/controller/src/feed/session.rs
+++ b/crates/controller/src/feed/session.rs
@@ -141,7 +141,7 @@
 }
 
 fn remove_demand(context: &ControllerContext, router: &RouterId) {
-    context.demand.remove_router(router);
+    context.demand.forget(router);
     let status = context.replica.status().borrow().clone();
     if let (false, Some(leader)) = (status.leads(), status.leader) {
         context.peers.relay_gone(leader, router);
--- a/crates/controller/src/peers/inbound.rs
+++ b/crates/controller/src/peers/inbound.rs
@@ -39,7 +39,7 @@
         ended = inbound.receive_all(receiver) => ended,
     };
     for router in &inbound.routers {
-        context.demand.remove_router(router);
+        context.demand.forget(router);
     }
     ended
 }
@@ -106,7 +106,7 @@
     fn handle_demand(&mut self, router: RouterId, reports: Vec<DemandReport>, gone: bool) {
         let demand = &self.context.demand;
         if gone || !self.context.replica.leads() {
-            demand.remove_router(&router);
+            demand.forget(&router);
             self.routers.remove(&router);
             return;
         }
