--- a/crates/controller/src/admin/metrics.rs
+++ b/crates/controller/src/admin/metrics.rs
@@ -1,11 +1,11 @@
-//! The controller's metrics page.
+//! Metrics page of the controller.
 
 use crate::ControllerContext;
 use courseshunt_metrics::{MetricsPage, Sample};
 use courseshunt_state::{ReplicaPhase, ReplicatedState};
 use std::sync::atomic::Ordering;
 
-/// The page, from the values of this moment.
+/// Renders the page from the current values.
 pub async fn page(context: &ControllerContext) -> String {
     let members = context.replica.members().await;
     let mut page = MetricsPage::default();
@@ -39,7 +39,11 @@
         has_leader,
     );
     page.gauge("leader", "Member that leads, 0 for none.", leader);
-    page.gauge("term", "Term of the control group.", status.term.0 as f64);
+    page.gauge(
+        "term",
+        "Current term of the control group.",
+        status.term.0 as f64,
+    );
     page.gauge(
         "applied_index",
         "Last applied entry of the log.",
--- a/crates/coordinator/src/leader_loop.rs
+++ b/crates/coordinator/src/leader_loop.rs
@@ -315,7 +315,7 @@
         OrderDecision::RecordHolder => record_holder(shared, leadership),
         OrderDecision::HandOver(holder) => {
             emit(&ControllerRecord::HandsOver { to: holder.0 });
-            shared.replica.hand_over(holder);
+            shared.replica.transfer_leadership(holder);
         }
     }
     false
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -114,7 +114,7 @@
     now: Timestamp,
 ) -> Vec<(ControllerId, SocketAddr)> {
     let mut applicants = shared.applicants();
-    for (stranger, address) in shared.addresses.strangers() {
+    for (stranger, address) in shared.addresses.recent_unexpected_peers() {
         shared.addresses.set(stranger, address);
         applicants.record(stranger, address, now);
     }
