--- a/crates/coordinator/src/feed.rs
+++ b/crates/coordinator/src/feed.rs
@@ -70,7 +70,7 @@
 async fn serve_router(
     connection: Connection,
     router: String,
-    number: u64,
+    session_number: u64,
     shared: &Arc<Shared>,
 ) -> Result<(), WireError> {
     let is_previous_release = connection.is_previous_release();
@@ -104,7 +104,7 @@
     }
     let (queue, messages) = mpsc::channel(SESSION_QUEUE);
     let session = Session {
-        number,
+        number: session_number,
         queue,
         configuration,
         is_previous_release,
@@ -113,7 +113,7 @@
     shared.sessions.open_router(&router, session, &known, gone);
     report_router_event(
         &router,
-        number,
+        session_number,
         RouterUpdate::Connected { configuration },
         shared,
     );
@@ -125,20 +125,20 @@
     let ended = tokio::select! {
         () = shared.stop.cancelled() => Ok(()),
         ended = send_feed(sender, messages) => ended,
-        ended = receive_reports(receiver, &router, number, shared) => ended,
+        ended = receive_reports(receiver, &router, session_number, shared) => ended,
     };
-    if shared.sessions.close_router(&router, number) {
+    if shared.sessions.close_router(&router, session_number) {
         emit(&ControllerRecord::RouterLost { router: &router });
     }
-    report_router_event(&router, number, RouterUpdate::Disconnected, shared);
+    report_router_event(&router, session_number, RouterUpdate::Disconnected, shared);
     ended
 }
 
-fn report_router_event(router: &str, session: u64, update: RouterUpdate, shared: &Shared) {
+fn report_router_event(router: &str, session_number: u64, update: RouterUpdate, shared: &Shared) {
     let router = router.to_owned();
     let report = RelayedReport {
         router,
-        session,
+        session: session_number,
         update,
     };
     reports::handle_local(report, shared);
@@ -173,16 +173,16 @@
 async fn receive_reports(
     mut receiver: Receiver,
     router: &str,
-    number: u64,
+    session_number: u64,
     shared: &Shared,
 ) -> Result<(), WireError> {
     while let Some(message) = receiver.receive().await? {
         if let Message::ServiceReport(ReportMessage::Compare(known)) = message {
             shared
                 .sessions
-                .send_differing_buckets(router, number, &known);
+                .send_differing_buckets(router, session_number, &known);
         } else if let Message::ServiceReport(report) = message {
-            report_router_event(router, number, RouterUpdate::Report(report), shared);
+            report_router_event(router, session_number, RouterUpdate::Report(report), shared);
         }
     }
     Ok(())
--- a/crates/coordinator/src/join.rs
+++ b/crates/coordinator/src/join.rs
@@ -1,8 +1,8 @@
 //! Makes this process a member of the group: a process without a leader sends join requests to
-//! the processes that it knows, and to those that their replies name.
+//! the processes whose addresses it has, and to those that their replies name.
 //!
-//! Invariant: the members that are known are stored on the disk, so that a restarted process
-//! finds the group without its seeds.
+//! Invariant: the known members are stored on disk, so that a restarted process finds the group
+//! without its seeds.
 
 use crate::records::{AskedMember, ControllerRecord};
 use crate::{Shared, identity};
@@ -77,14 +77,14 @@
 /// Records the processes that were sent requests and their answers, if they have changed.
 fn record_answers(joiner: &Joiner, recorded: &mut Vec<AskedMember>) {
     let outcomes = joiner.outcomes();
-    let asked: Vec<AskedMember> = outcomes.map(AskedMember::from).collect();
-    if asked == *recorded {
+    let answers: Vec<AskedMember> = outcomes.map(AskedMember::from).collect();
+    if answers == *recorded {
         return;
     }
-    if !asked.is_empty() {
-        emit(&ControllerRecord::AsksToJoin { asked: &asked });
+    if !answers.is_empty() {
+        emit(&ControllerRecord::AsksToJoin { asked: &answers });
     }
-    *recorded = asked;
+    *recorded = answers;
 }
 
 fn handle_outcome(shared: &Shared, joiner: &mut Joiner, (address, reply): JoinAttempt) {
--- a/crates/coordinator/src/leader_loop.rs
+++ b/crates/coordinator/src/leader_loop.rs
@@ -33,7 +33,7 @@
 /// Interval of messages with all quota accounts of tenants and all limits of instances; changes
 /// are sent without waiting for it.
 const ACCOUNTS_FEED_INTERVAL: Millis = Millis(1_000);
-/// Shortest time between messages with limits: a limit can change with each answer of an
+/// Shortest time between messages with limits: a limit can change with each response of an
 /// instance.
 const MIN_LIMITS_FEED_INTERVAL: Millis = Millis(50);
 /// Time after its election that a leader waits for registrations before it reports instances
@@ -46,7 +46,7 @@
 /// A voter that answered within this time can take over the leadership.
 const LIVE_VOTER_WINDOW: Millis = Millis(200);
 /// Added to the lease between the orders of two leaders. The previous leader may give orders for
-/// `orders::QUORUM_CONTACT_LIMIT` after its last contact with a quorum, and members that
+/// `orders::ORDER_CONTACT_LIMIT` after its last contact with a quorum, and members that
 /// restarted may have elected this one right after that contact.
 const LEASE_MARGIN: Millis = Millis(450);
 
@@ -188,7 +188,7 @@
         .sessions
         .broadcast_to_routers(FeedMessage::AwaitingLeader);
     shared.routers().clear();
-    shared.applicants().clear();
+    shared.join_requests().clear();
 }
 
 async fn run_step(shared: &Arc<Shared>, leadership: &mut Leadership) {
@@ -429,7 +429,7 @@
         return;
     }
     leadership.quotas_sent_at = now;
-    if let Some(message) = shared.quota_standings(now) {
+    if let Some(message) = shared.quotas_message(now) {
         shared.sessions.broadcast(message);
     }
 }
--- a/crates/coordinator/src/leader_step.rs
+++ b/crates/coordinator/src/leader_step.rs
@@ -11,7 +11,7 @@
 pub enum LeaderStep {
     /// This member does not lead: wait until its status changes.
     Wait,
-    /// Begin a leadership in the present term.
+    /// Begin a leadership in the current term.
     Begin,
     /// Continue the leadership that the loop holds.
     Continue,
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -104,11 +104,11 @@
     /// Whether this member leads and has restored the recorded state. Until then it sends no
     /// feed as the leader and drops reports, since routers send a new leader everything again.
     pub(crate) leading: watch::Sender<bool>,
-    /// Processes that want to join; filled while this member leads.
-    pub(crate) applicants: Mutex<JoinRequests>,
-    /// Processes that sent a join request to this member, and whether each was noted as an
-    /// applicant.
-    join_requests: Mutex<BTreeMap<ControllerId, bool>>,
+    /// Pending requests to join; recorded while this member leads.
+    pub(crate) join_requests: Mutex<JoinRequests>,
+    /// Processes that sent a join request to this member, and whether this member led and
+    /// recorded the request.
+    join_answers: Mutex<BTreeMap<ControllerId, bool>>,
     /// How many member losses the group can tolerate, and the time below full redundancy;
     /// known while this member leads.
     pub(crate) redundancy: Mutex<Option<(Redundancy, Millis)>>,
@@ -148,7 +148,7 @@
 
     /// The feed message with the state of the tenants' accounts; `None` if no tenant has a
     /// limit.
-    pub(crate) fn quota_standings(&self, now: Timestamp) -> Option<FeedMessage> {
+    pub(crate) fn quotas_message(&self, now: Timestamp) -> Option<FeedMessage> {
         let mut quotas = self.quotas();
         quotas.has_accounts().then(|| FeedMessage::Quotas {
             epoch: quotas.epoch(),
@@ -156,28 +156,28 @@
         })
     }
 
-    /// Notes at the leader that a process wants to join, and wakes its loop if that is new.
-    pub(crate) fn note_applicant(&self, member: ControllerId, address: SocketAddr) {
+    /// Records a request to join at the leader, and wakes its loop if the request is new.
+    pub(crate) fn record_join_request(&self, member: ControllerId, address: SocketAddr) {
         let now = self.clock.now();
-        if self.applicants().record(member, address, now) {
+        if self.join_requests().record(member, address, now) {
             self.wake.notify_one();
         }
     }
 
-    pub(crate) fn applicants(&self) -> MutexGuard<'_, JoinRequests> {
-        let applicants = self.applicants.lock();
-        applicants.unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn join_requests(&self) -> MutexGuard<'_, JoinRequests> {
+        let requests = self.join_requests.lock();
+        requests.unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes how a join request was answered; returns whether the answer differs from the last
     /// one to this process.
-    pub(crate) fn note_join_request(&self, member: ControllerId, noted: bool) -> bool {
-        let requests = self.join_requests.lock();
-        let mut requests = requests.unwrap_or_else(PoisonError::into_inner);
-        if requests.len() >= MAX_JOIN_REQUESTS {
-            requests.clear();
+    pub(crate) fn note_join_answer(&self, member: ControllerId, recorded: bool) -> bool {
+        let answers = self.join_answers.lock();
+        let mut answers = answers.unwrap_or_else(PoisonError::into_inner);
+        if answers.len() >= MAX_JOIN_REQUESTS {
+            answers.clear();
         }
-        requests.insert(member, noted) != Some(noted)
+        answers.insert(member, recorded) != Some(recorded)
     }
 
     /// Sets the redundancy that the metrics page shows; `None` when this member does not lead.
@@ -331,8 +331,8 @@
             wake: Notify::new(),
             feed_available: watch::Sender::new(false),
             leading: watch::Sender::new(false),
-            applicants: Mutex::default(),
             join_requests: Mutex::default(),
+            join_answers: Mutex::default(),
             redundancy: Mutex::default(),
             stop: stop.clone(),
             metrics: Metrics::default(),
--- a/crates/coordinator/src/limits.rs
+++ b/crates/coordinator/src/limits.rs
@@ -84,7 +84,7 @@
 }
 
 /// The feed message with all limits; `None` if no instance reports a limit. Removes instances
-/// that are gone, and passes the present rates to the placement engine.
+/// that are gone, and passes the current rates to the placement engine.
 pub(crate) fn feed_message(shared: &Shared, now: Timestamp) -> Option<FeedMessage> {
     let mut engine = shared.engine();
     let mut limits = shared.limits();
--- a/crates/coordinator/src/member_thread.rs
+++ b/crates/coordinator/src/member_thread.rs
@@ -119,20 +119,20 @@
     Ok(())
 }
 
-/// Handles a join request: notes the applicant if this member leads, and replies with the leader
+/// Handles a join request: records it if this member leads, and replies with the leader
 /// and the members.
 async fn handle_join(member: ControllerId, wire_address: &str, shared: &Shared) -> Message {
     let leads = shared.replica.leads();
     if leads && let Ok(address) = wire_address.parse() {
         shared.addresses.set(member, address);
-        shared.note_applicant(member, address);
+        shared.record_join_request(member, address);
     }
     let mut known = join::members(shared).await;
     if known.is_empty() {
-        // This process is not a member itself; the processes that it has met may know the group.
+        // This process is not a member itself; the processes whose addresses it has may be members.
         known = shared.addresses.all().into_iter().collect();
     }
-    if shared.note_join_request(member, leads) {
+    if shared.note_join_answer(member, leads) {
         emit(&ControllerRecord::AskedToJoin {
             member: member.0,
             address: wire_address,
--- a/crates/coordinator/src/members.rs
+++ b/crates/coordinator/src/members.rs
@@ -53,7 +53,7 @@
         let all = members.membership.all().into_iter();
         let known = all.filter_map(|id| shared.addresses.get(id).map(|address| (id, address)));
         let addresses: BTreeMap<ControllerId, SocketAddr> = known.collect();
-        let joining = present_applicants(shared, &members, now);
+        let joining = pending_join_requests(shared, &members, now);
         let redundancy = Redundancy::of(shared.id, &members, joining.len());
         self.watch_redundancy(shared, redundancy, now);
         if self.change_in_flight.load(Ordering::Relaxed) {
@@ -106,19 +106,19 @@
 }
 
 /// Processes that are to join: those that sent a request, and those that answer at a member's
-/// address under another identity, since a process with a new disk may be known to no other
-/// member.
-fn present_applicants(
+/// address under another identity, since the other members may not have the address of a
+/// process with a new disk.
+fn pending_join_requests(
     shared: &Shared,
     members: &MembersView,
     now: Timestamp,
 ) -> Vec<(ControllerId, SocketAddr)> {
-    let mut applicants = shared.applicants();
-    for (stranger, address) in shared.addresses.recent_unexpected_peers() {
-        shared.addresses.set(stranger, address);
-        applicants.record(stranger, address, now);
+    let mut requests = shared.join_requests();
+    for (peer, address) in shared.addresses.recent_unexpected_peers() {
+        shared.addresses.set(peer, address);
+        requests.record(peer, address, now);
     }
-    applicants.pending(&members.membership.all(), now)
+    requests.pending(&members.membership.all(), now)
 }
 
 /// The next member whose address the replicated state lacks.
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -2,7 +2,7 @@
 //! reports.
 //!
 //! Invariant: an order is sent only while this member leads and was in contact with a quorum
-//! within [`QUORUM_CONTACT_LIMIT`]; it carries the term as its fence.
+//! within [`ORDER_CONTACT_LIMIT`]; it carries the term as its fence.
 
 use crate::interface::InstanceCall;
 use crate::records::ControllerRecord;
@@ -31,7 +31,7 @@
 const MAX_REPLY_BYTES: usize = 256 * 1024;
 /// A leader gives orders only if its last contact with a quorum is younger than this, so that no
 /// later leader can have waited out the lease.
-const QUORUM_CONTACT_LIMIT: Millis = Millis(330);
+const ORDER_CONTACT_LIMIT: Millis = Millis(330);
 
 /// Executes one step and reports its outcome to the engine.
 pub(crate) async fn execute(step: PlacementStep, shared: Arc<Shared>) {
@@ -146,7 +146,7 @@
     let fence = shared.replica.status().borrow().term.0;
     let leads = shared.replica.leads();
     let contact = shared.replica.confirmation_age();
-    if !leads || contact.is_none_or(|age| age >= QUORUM_CONTACT_LIMIT) {
+    if !leads || contact.is_none_or(|age| age >= ORDER_CONTACT_LIMIT) {
         return (OrderOutcome::NotSent, None);
     }
     let call = shared
--- a/crates/coordinator/src/records.rs
+++ b/crates/coordinator/src/records.rs
@@ -48,7 +48,7 @@
     AskedToJoin {
         member: u64,
         address: &'a str,
-        /// Whether this member leads and has noted the applicant.
+        /// Whether this member leads and has recorded the request.
         noted: bool,
         /// Number of members in the reply.
         members: usize,
--- a/crates/coordinator/src/router_registry.rs
+++ b/crates/coordinator/src/router_registry.rs
@@ -43,7 +43,7 @@
     pub after: Millis,
 }
 
-/// The routers that subscribe anywhere in the group, and the present rollout.
+/// The routers that subscribe anywhere in the group, and the current rollout.
 #[derive(Debug, Default)]
 pub struct RouterRegistry {
     routers: BTreeMap<String, Subscription>,
@@ -75,11 +75,11 @@
         }
     }
 
-    /// Notes that a connection of a router has ended; returns whether it was the router's present
+    /// Notes that a connection of a router has ended; returns whether it was the router's current
     /// one.
     pub fn disconnect(&mut self, router: &str, session: u64) -> bool {
-        let known = self.routers.get(router);
-        let ended = known.is_some_and(|known| known.session == session);
+        let subscription = self.routers.get(router);
+        let ended = subscription.is_some_and(|subscription| subscription.session == session);
         if ended {
             self.remove(router);
         }
@@ -90,7 +90,8 @@
     /// that have not subscribed by another path since.
     pub fn disconnect_relay(&mut self, connection: u64) -> Vec<String> {
         let relayed = self.routers.iter();
-        let relayed = relayed.filter(|(_, known)| known.path == FeedPath::Relayed(connection));
+        let relayed =
+            relayed.filter(|(_, subscription)| subscription.path == FeedPath::Relayed(connection));
         let lost: Vec<String> = relayed.map(|(router, _)| router.clone()).collect();
         for router in &lost {
             self.remove(router);
@@ -98,25 +99,27 @@
         lost
     }
 
-    /// Whether this is the connection by which the router subscribes at present.
+    /// Whether this is the current connection of the router.
     #[must_use]
     pub fn is_current(&self, router: &str, session: u64) -> bool {
-        let known = self.routers.get(router);
-        known.is_some_and(|known| known.session == session)
+        let subscription = self.routers.get(router);
+        subscription.is_some_and(|subscription| subscription.session == session)
     }
 
     /// Begins the rollout of a configuration.
     pub fn begin_rollout(&mut self, number: u64, now: Timestamp) {
         self.pending = Some(PendingRollout { number, since: now });
         let routers = self.routers.values();
-        self.stale = routers.filter(|known| known.in_force < number).count();
+        self.stale = routers
+            .filter(|subscription| subscription.in_force < number)
+            .count();
     }
 
     /// Notes the configuration that is in force at a router. Returns the rollout once, when it is
     /// in force at all routers.
     pub fn confirm(&mut self, router: &str, in_force: u64, now: Timestamp) -> Option<Rollout> {
-        let known = self.routers.get_mut(router)?;
-        let before = std::mem::replace(&mut known.in_force, in_force);
+        let subscription = self.routers.get_mut(router)?;
+        let before = std::mem::replace(&mut subscription.in_force, in_force);
         if self.is_stale(before) {
             self.stale -= 1;
         }
@@ -138,8 +141,8 @@
     }
 
     fn remove(&mut self, router: &str) {
-        let known = self.routers.remove(router);
-        if known.is_some_and(|known| self.is_stale(known.in_force)) {
+        let subscription = self.routers.remove(router);
+        if subscription.is_some_and(|subscription| self.is_stale(subscription.in_force)) {
             self.stale -= 1;
         }
     }
--- a/crates/coordinator/src/sessions/mod.rs
+++ b/crates/coordinator/src/sessions/mod.rs
@@ -49,7 +49,7 @@
     /// Encoded buckets of the instances; a bucket is removed when one of its instances changes.
     buckets: BTreeMap<usize, Arc<Frame>>,
     leadership: Option<Leadership>,
-    /// The present leader's latest messages of these kinds, encoded.
+    /// The current leader's latest messages of these kinds, encoded.
     quarantine: Option<Arc<Frame>>,
     quotas: Option<Arc<Frame>>,
     limits: Option<Arc<Frame>>,
@@ -180,7 +180,7 @@
         self.subscribers().controllers.remove(&connection);
     }
 
-    /// Sends a message to one router, if this is its present connection.
+    /// Sends a message to one router, if this is its current connection.
     pub(crate) fn send_to_router(&self, name: &str, number: u64, message: FeedMessage) {
         let subscribers = self.subscribers();
         let session = subscribers.routers.get(name);
@@ -354,7 +354,7 @@
     }
 
     /// Publishes a configuration, in the form for routers, to those that hold an older one;
-    /// returns whether it is newer than the present one.
+    /// returns whether it is newer than the current one.
     pub(crate) fn publish_configuration(&self, number: u64, document: &[u8]) -> bool {
         let mut feed = self.configuration();
         if !feed.publish(number, document) {
@@ -409,7 +409,7 @@
         changes
     }
 
-    /// The frames that a subscriber lacks which holds instances with these digests. The
+    /// The frames that a subscriber needs whose instances have these digests. The
     /// quarantine precedes the instances: without it a router that has just started would send
     /// quarantined requests. The use of instances comes last, so that its arrival marks the end
     /// of the initial frames.
--- a/crates/coordinator/src/upstream.rs
+++ b/crates/coordinator/src/upstream.rs
@@ -45,7 +45,7 @@
 pub(crate) struct Upstream {
     pending: Mutex<PendingReports>,
     wake: Notify,
-    /// Whether the present leader runs the previous release.
+    /// Whether the current leader runs the previous release.
     leader_is_previous_release: watch::Sender<bool>,
     /// Problem of the last recorded attempt; `None` if it ended without one.
     last_recorded_problem: Mutex<Option<String>>,
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Counts a response whose first part came later than the objective.
+    /// Counts a response whose first byte came later than the objective.
     pub(crate) fn count_late(&mut self, service: &str, shape: &PromptShape) {
         if let Some(demand) = self.entry(service, shape) {
             demand.late += 1;
--- a/crates/gateway/src/feed.rs
+++ b/crates/gateway/src/feed.rs
@@ -200,7 +200,7 @@
             instances,
             complete,
         } => {
-            let gone = shared.view.set_part(bucket, instances, complete);
+            let gone = shared.view.set_bucket(bucket, instances, complete);
             remove_instances(gone, shared);
         }
         FeedMessage::Instances { changed, gone } => {
@@ -213,9 +213,9 @@
         }
         FeedMessage::Digests(digests) => {
             let local = shared.view.digests();
-            let parts = digests.differing_buckets(&local).count();
-            if parts > 0 {
-                emit(&RouterRecord::InstancesDiffer { parts });
+            let buckets = digests.differing_buckets(&local).count();
+            if buckets > 0 {
+                emit(&RouterRecord::InstancesDiffer { parts: buckets });
                 shared.view.instances_differ.notify_one();
             }
         }
@@ -232,10 +232,12 @@
         }
         FeedMessage::Quotas {
             epoch,
-            account_statuses: standings,
+            account_statuses,
         } => {
             let now = shared.clock.now();
-            shared.quotas.set_standings(epoch, standings, now);
+            shared
+                .quotas
+                .set_account_statuses(epoch, account_statuses, now);
         }
         FeedMessage::QuotaAnswers(answers) => {
             shared.quotas.apply_answers(answers, shared.clock.now());
--- a/crates/gateway/src/interface.rs
+++ b/crates/gateway/src/interface.rs
@@ -91,7 +91,7 @@
     /// Reads the metadata of a request.
     fn read_request(&self, headers: &HeaderMap) -> RequestMetadata;
 
-    /// How long a client waits for the first part of a response on this route; `None` if it
+    /// How long a client waits for the first byte of a response on this route; `None` if it
     /// waits until its deadline.
     fn first_byte_timeout(&self, route: &Route) -> Option<Millis>;
 
--- a/crates/gateway/src/quota_tracker.rs
+++ b/crates/gateway/src/quota_tracker.rs
@@ -71,16 +71,18 @@
         self.lock().quotas.set_routers(routers);
     }
 
-    /// Applies the account standings sent by the leader of `epoch`.
-    pub(crate) fn set_standings(
+    /// Applies the account statuses sent by the leader of `epoch`.
+    pub(crate) fn set_account_statuses(
         &self,
         epoch: u64,
-        standings: Vec<TenantAccountStatus>,
+        account_statuses: Vec<TenantAccountStatus>,
         now: Timestamp,
     ) {
         let mut state = self.lock();
         state.connected = true;
-        state.quotas.set_account_statuses(epoch, standings, now);
+        state
+            .quotas
+            .set_account_statuses(epoch, account_statuses, now);
     }
 
     /// Records that the leader is lost: requests that wait for its answer are decided locally.
--- a/crates/gateway/src/records.rs
+++ b/crates/gateway/src/records.rs
@@ -169,7 +169,7 @@
     ConfigurationUnusable { number: u64, problem: &'a str },
     /// Instances were removed.
     InstancesGone { instances: &'a [String] },
-    /// The local instances differ from the leader's in this number of parts, which are
+    /// The local instances differ from the leader's in this number of buckets, which are
     /// requested again.
     InstancesDiffer { parts: usize },
     /// An instance is unreachable and left out of the selection for a while.
--- a/crates/gateway/src/view/mod.rs
+++ b/crates/gateway/src/view/mod.rs
@@ -198,17 +198,17 @@
         changes.gone
     }
 
-    /// Replaces the instances of one part of the instance set; returns those that no longer
+    /// Replaces the instances of one bucket of the instance set; returns those that no longer
     /// exist.
-    pub(crate) fn set_part(
+    pub(crate) fn set_bucket(
         &self,
-        part: u32,
+        bucket: u32,
         instances: Vec<InstanceView>,
         complete: bool,
     ) -> Vec<RunnerId> {
-        let part = usize::try_from(part).unwrap_or(usize::MAX);
+        let bucket = usize::try_from(bucket).unwrap_or(usize::MAX);
         let mut state = self.lock();
-        let changes = state.instances.set_bucket(part, instances, complete);
+        let changes = state.instances.set_bucket(bucket, instances, complete);
         state.apply_changes(&changes);
         drop(state);
         self.notify_change();
@@ -228,7 +228,7 @@
         changes.gone
     }
 
-    /// Digests of the known instances, by part.
+    /// Digests of the known instances, by bucket.
     pub(crate) fn digests(&self) -> InstanceDigests {
         self.lock().instances.digests().clone()
     }
@@ -465,7 +465,7 @@
         state.demand.count_arrival(service, shape, objective);
     }
 
-    /// Counts a response whose first part came later than the objective.
+    /// Counts a response whose first byte came later than the objective.
     pub(crate) fn count_late(&self, service: &str, shape: &PromptShape) {
         self.lock().demand.count_late(service, shape);
     }
--- a/crates/gateway/src/view/state.rs
+++ b/crates/gateway/src/view/state.rs
@@ -18,7 +18,7 @@
 /// Estimated time in which an instance answers one of the few requests that it is sent right
 /// after a backoff.
 const AFTER_BACKOFF_ANSWER_TIME: Duration = Duration::from_millis(60);
-/// One part in this many of the connections to an instance is reserved for other clients of it.
+/// The number of connections to an instance divided by this is reserved for its other clients.
 const RESERVED_CONNECTION_DIVISOR: u32 = 8;
 /// When an instance is expected to accept a request.
 #[derive(Debug, Clone, Copy)]
--- a/crates/gateway/src/waiting.rs
+++ b/crates/gateway/src/waiting.rs
@@ -35,7 +35,7 @@
     pub deadline: Instant,
     /// Time within which a response meets the service-level objective.
     pub objective: Duration,
-    /// How long the client waits for the first part of the response.
+    /// How long the client waits for the first byte of the response.
     pub first_byte_timeout: Option<Duration>,
     /// Whether this is the retry of a request that was refused before.
     pub is_client_retry: bool,
--- a/crates/services/src/limit/local.rs
+++ b/crates/services/src/limit/local.rs
@@ -1,8 +1,8 @@
 //! A router's view of the rate limits that instances report, and the share that it sends without a
 //! leader.
 //!
-//! Invariant: an answer without a limit removes a limit only if its request was sent after the
-//! limit was last reported, so that an answer that was overtaken by a newer one removes nothing.
+//! Invariant: a response without a limit removes a limit only if its request was sent after the
+//! limit was last reported, so that a response that was overtaken by a newer one removes nothing.
 
 use super::{LimitReport, LimitVerdict, MIN_LOCAL_BURST, REMOVAL_RETENTION, RequestRate, account};
 use crate::token_bucket::TokenBucket;
@@ -28,7 +28,7 @@
 /// slots: the initial request of each router is then small compared to the share.
 const MIN_BUCKET_SHARE: f64 = 1.0;
 
-/// Change of an instance's limit by an answer.
+/// Change of an instance's limit by a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitChange {
     /// The limit is unchanged.
@@ -134,7 +134,7 @@
     }
 
     /// Sets another limit than before. The use of the local share stays counted, because the
-    /// limit may change with each answer.
+    /// limit may change with each response.
     fn change(&mut self, rate: Option<RequestRate>) {
         self.rate = rate;
         self.refused_until = Timestamp::default();
@@ -209,7 +209,7 @@
         self.routers = routers.max(1);
     }
 
-    /// Records the limit in an answer, or its absence, for a request that was sent at
+    /// Records the limit in a response, or its absence, for a request that was sent at
     /// `sent_at`.
     pub fn observe(
         &mut self,
--- a/crates/services/src/limit/mod.rs
+++ b/crates/services/src/limit/mod.rs
@@ -1,4 +1,4 @@
-//! Rate limits that instances report in their answers: the requests per second that one instance
+//! Rate limits that instances report in their responses: the requests per second that one instance
 //! accepts from all routers together, until it reports another limit or none.
 //!
 //! The leader keeps one account for each instance that reports a limit. A router queries the
@@ -24,7 +24,7 @@
 /// Smallest capacity of a router's local account, in requests.
 pub(crate) const MIN_LOCAL_BURST: f64 = 1.0;
 /// Requests per second that are sent to an instance even if its limit is lower or zero:
-/// without answers, routers could not detect that the limit has ended.
+/// without responses, routers could not detect that the limit has ended.
 pub const MIN_PER_SECOND: f64 = 0.1;
 /// Time for which the removal of a limit is remembered: an older report of the limit may still
 /// be in transit.
@@ -69,26 +69,26 @@
     TokenBucket::full(per_second, (per_second * BURST_S).max(min_burst), now)
 }
 
-/// The rate limit in an answer of an instance.
+/// The rate limit in a response of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ReportedLimit {
-    /// The answer contains no limit.
+    /// The response contains no limit.
     #[default]
     None,
-    /// The answer contains a limit that is not a valid rate.
+    /// The response contains a limit that is not a valid rate.
     Unreadable,
     /// The instance accepts this rate from all routers together.
     Rate(RequestRate),
 }
 
-/// Report of an instance's rate limit, taken from an answer of the instance.
+/// Report of an instance's rate limit, taken from a response of the instance.
 #[derive(Debug, Clone, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct LimitReport {
     /// The instance.
     pub instance: RunnerId,
     /// Limit for all routers together; `None` if the instance reports no limit any more.
     pub rate: Option<RequestRate>,
-    /// Time since the answer.
+    /// Time since the response.
     pub age: Millis,
 }
 
--- a/crates/services/src/placement/candidates.rs
+++ b/crates/services/src/placement/candidates.rs
@@ -25,7 +25,7 @@
     pub(super) value: f64,
     /// Whether requests wait for it.
     has_waiting_requests: bool,
-    /// Whether there is no present need for it.
+    /// Whether there is no current need for it.
     background: bool,
 }
 
--- a/crates/services/src/placement/mod.rs
+++ b/crates/services/src/placement/mod.rs
@@ -298,8 +298,8 @@
         }
     }
 
-    /// Marks an instance as leaving that announced this in an answer; returns whether it was ready
-    /// before. This is not committed to the log: the process that received the answer reports it to
+    /// Marks an instance as leaving that announced this in a response; returns whether it was ready
+    /// before. This is not committed to the log: the process that received the response reports it to
     /// the next leader again.
     pub fn mark_leaving_if_ready(&mut self, id: &RunnerId) -> bool {
         let instance = self.instances.get(id);
--- a/crates/services/src/placement/round.rs
+++ b/crates/services/src/placement/round.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct ModelState {
     pub(super) demand: DemandSummary,
-    /// Replicas that the present demand needs, at least one.
+    /// Replicas that the current demand needs, at least one.
     pub(super) desired: usize,
     /// Number of replicas above which a replica is surplus. It is at least `desired`, so that a
     /// demand that varies a little causes no loads or evictions.
