--- a/crates/coordinator/src/reports.rs
+++ b/crates/coordinator/src/reports.rs
@@ -85,8 +85,8 @@
                 shared.wake.notify_one();
             }
         }
-        ReportMessage::QuotaQueries(requests) => {
-            return Some(answer_quotas(router, &requests, shared));
+        ReportMessage::QuotaQueries(queries) => {
+            return Some(answer_quotas(router, &queries, shared));
         }
         ReportMessage::Limits { reports, queries } => {
             return limits::handle_report(router, &reports, &queries, shared);
@@ -150,12 +150,12 @@
     age.is_some_and(|age| age < QUORUM_CONTACT_LIMIT)
 }
 
-/// Answers a router's requests for units of tenants' quotas.
-fn answer_quotas(router: &str, requests: &[QuotaQuery], shared: &Shared) -> FeedMessage {
+/// Answers a router's queries about tenants' quotas.
+fn answer_quotas(router: &str, queries: &[QuotaQuery], shared: &Shared) -> FeedMessage {
     let now = shared.clock.now();
     let has_quorum_contact = has_quorum_contact(shared);
     let mut quotas = shared.quotas();
-    let answers = requests.iter().map(|one| QuotaAnswer {
+    let answers = queries.iter().map(|one| QuotaAnswer {
         number: one.number,
         verdict: match has_quorum_contact {
             true => quotas.decide(router, one, now),
