--- a/crates/controller/src/admin/metrics.rs
+++ b/crates/controller/src/admin/metrics.rs
@@ -39,11 +39,7 @@
         has_leader,
     );
     page.gauge("leader", "Member that leads, 0 for none.", leader);
-    page.gauge(
-        "term",
-        "Current term of the control group.",
-        status.term.0 as f64,
-    );
+    page.gauge("term", "Term of the control group.", status.term.0 as f64);
     page.gauge(
         "applied_index",
         "Last applied entry of the log.",
--- a/crates/coordinator/src/metrics.rs
+++ b/crates/coordinator/src/metrics.rs
@@ -81,7 +81,11 @@
         let help = "Decisions on requests for instances that name a limit, by outcome";
         registry.register("limit_verdicts", help, verdicts);
         let leaderships = metrics.leaderships.clone();
-        registry.register("leaderships", "Elections that this member won", leaderships);
+        registry.register(
+            "leaderships",
+            "Times that this member was elected",
+            leaderships,
+        );
         let slept = metrics.slept_milliseconds.clone();
         let help = "Time in which the machine was suspended";
         registry.register("slept_milliseconds", help, slept);
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -118,11 +118,7 @@
         let attempts = self.attempts.clone();
         registry.register("attempts", "Requests sent by outcome", attempts);
         let denied = self.retries_denied.clone();
-        registry.register(
-            "retries_denied",
-            "Retries denied by the retry budget",
-            denied,
-        );
+        registry.register("retries_denied", "Retries beyond the budget", denied);
         let pushbacks = self.pushbacks.clone();
         let help = "Answers in which instances ask for rest or say that they leave";
         registry.register("pushbacks", help, pushbacks);
@@ -144,41 +140,21 @@
         let waits = self.waits.clone();
         registry.register("wait_seconds", "Arrival to sending", waits);
         let first = self.first_answers.clone();
-        registry.register(
-            "first_answer_seconds",
-            "Time from arrival to the first part of the response",
-            first,
-        );
+        registry.register("first_answer_seconds", "Arrival to first answer", first);
         let errors = self.prediction_errors.clone();
         let help = "Difference of predicted and real first answer";
         registry.register("prediction_error_seconds", help, errors);
         let configuration = self.configuration.clone();
-        registry.register(
-            "configuration",
-            "Version number of the configuration in force",
-            configuration,
-        );
+        registry.register("configuration", "Number in force", configuration);
         let age = self.feed_age_ms.clone();
-        registry.register(
-            "feed_age_milliseconds",
-            "Time since the last message of a leader",
-            age,
-        );
+        registry.register("feed_age_milliseconds", "Time since the last message", age);
         let quarantined = self.quarantined.clone();
         let help = "Contents in quarantine: instances ended under each";
         registry.register("quarantined", help, quarantined);
         let cached = self.cached_tokens.clone();
-        registry.register(
-            "tokens_kept",
-            "Prompt tokens predicted to be in a prefix cache",
-            cached,
-        );
+        registry.register("tokens_kept", "Prompt tokens predicted as kept", cached);
         let processed = self.processed_tokens.clone();
-        registry.register(
-            "tokens_read",
-            "Prompt tokens predicted to be processed",
-            processed,
-        );
+        registry.register("tokens_read", "Prompt tokens predicted as read", processed);
         let requests = self.tenant_requests.clone();
         let help = "Requests of the largest tenants by outcome";
         registry.register("tenant_requests", help, requests);
